--- a/Makefile
+++ b/Makefile
@@ -2,10 +2,11 @@
 GO ?= go
 export CGO_ENABLED = 1
 TOOL = $(GO) tool -modfile=tools/go.mod
+GOPLS_VERSION = v0.21.1
 BIN = bin
 RACE_COUNT ?= 1
 
-.PHONY: build run up test fmt lint vet generate check-generate unit bench bench-policies bench-capacity bench-fleet fuzz soak clean
+.PHONY: build run up test fmt lint vet tools generate check-generate unit bench bench-policies bench-capacity bench-fleet fuzz soak clean
 
 build:
 	$(GO) build -o $(BIN)/ ./cmd/havenwinchd ./cmd/havenwinch ./standin
@@ -32,6 +33,10 @@
 	$(TOOL) staticcheck ./...
 	$(TOOL) buf lint
 
+# Installs gopls, which renames identifiers with every use.
+tools:
+	$(GO) install golang.org/x/tools/gopls@$(GOPLS_VERSION)
+
 generate:
 	$(TOOL) buf generate
 
