--- a/Makefile
+++ b/Makefile
@@ -6,7 +6,7 @@
 BIN = bin
 RACE_COUNT ?= 1
 
-.PHONY: build run up test fmt lint vet tools generate check-generate unit bench bench-policies bench-capacity bench-fleet fuzz soak clean
+.PHONY: build run up test fmt lint vet tools generate check-generate unit bench bench-policies bench-capacity bench-fleet fuzz soak versions clean
 
 build:
 	$(GO) build -o $(BIN)/ ./cmd/havenwinchd ./cmd/havenwinch ./standin
@@ -81,5 +81,10 @@
 soak:
 	SOAK_SEEDS=$(SEEDS) $(GO) test -race -run TestSoak -timeout 60m -v ./tests/soak
 
+# EARLIER is the folder of havenwinchd as an earlier version built it, with -race.
+versions:
+	@test -x "$(EARLIER)/havenwinchd" || { echo "set EARLIER to the folder of an earlier havenwinchd"; exit 1; }
+	HAVENWINCH_EARLIER_BIN=$(abspath $(EARLIER)) $(GO) test -race -count=1 -v -run 'Version' ./tests/integration ./tests/soak
+
 clean:
 	rm -rf $(BIN) .generated
--- a/tests/fleet/fleet.go
+++ b/tests/fleet/fleet.go
@@ -43,6 +43,8 @@
 	Roles      string
 	// Flags are added to the command line.
 	Flags []string
+	// Bin is the folder of the box's daemon; empty means that of the fleet.
+	Bin string
 }
 
 // Box is one box of a fleet, and its process while it runs.
@@ -194,7 +196,11 @@
 	b := f.Boxes[name]
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	cmd := exec.Command(filepath.Join(f.Bin, "havenwinchd"), f.Args(b)...)
+	bin := b.Spec.Bin
+	if bin == "" {
+		bin = f.Bin
+	}
+	cmd := exec.Command(filepath.Join(bin, "havenwinchd"), f.Args(b)...)
 	cmd.Env = []string{"GORACE=atexit_sleep_ms=0"}
 	cmd.Stderr = &lockedWriter{b: b}
 	if err := cmd.Start(); err != nil {
--- a/tests/soak/fleet_test.go
+++ b/tests/soak/fleet_test.go
@@ -46,6 +46,8 @@
 	ip     string
 	folder string
 	env    []string
+	// bin is the folder of the daemon that runs at the next start.
+	bin string
 
 	mu   sync.Mutex
 	cmd  *exec.Cmd
@@ -88,7 +90,7 @@
 		t.Fatal(err)
 	}
 	for i := range controls + entries {
-		b := &box{name: fmt.Sprintf("control-%d", i+1), role: "control", ip: net + strconv.Itoa(10+i)}
+		b := &box{name: fmt.Sprintf("control-%d", i+1), role: "control", ip: net + strconv.Itoa(10+i), bin: bin}
 		if i >= controls {
 			b.name, b.role = fmt.Sprintf("entry-%d", i-controls+1), "entry"
 		}
@@ -160,7 +162,7 @@
 	if err := b.laySettings("HAVENWINCH_FIRST_START=" + strconv.FormatBool(!b.started)); err != nil {
 		return err
 	}
-	cmd := exec.Command(filepath.Join(bin, "havenwinchd"), "forward", "--role", b.role)
+	cmd := exec.Command(filepath.Join(b.bin, "havenwinchd"), "forward", "--role", b.role)
 	cmd.Env = []string{"PATH=" + os.Getenv("PATH"), "HOME=" + os.Getenv("HOME"), "HAVENWINCH_NODE_FILE=" + b.settings()}
 	cmd.Stdout, cmd.Stderr = &lockedWriter{b: b}, &lockedWriter{b: b}
 	if err := cmd.Start(); err != nil {
--- a/tests/soak/path_test.go
+++ b/tests/soak/path_test.go
@@ -28,7 +28,13 @@
 
 func newWorld(t *testing.T, seed int64, controls, entries, engines, portals int) *world {
 	t.Helper()
-	w := &world{fleet: newFleet(t, controls, entries)}
+	return startWorld(t, newFleet(t, controls, entries), seed, engines, portals)
+}
+
+// startWorld starts a fleet and the site that it serves.
+func startWorld(t *testing.T, f *fleet, seed int64, engines, portals int) *world {
+	t.Helper()
+	w := &world{fleet: f}
 	w.startAll(t)
 	w.site = newSite(w.addresses("control", w.ports.registry))
 	t.Cleanup(w.site.end)
