--- a/services/dispatch/admit.go
+++ b/services/dispatch/admit.go
@@ -15,55 +15,60 @@
 )
 
 const (
-	// budgetWait is how long a request waits for tokens that others have
-	// reserved and may give back.
-	budgetWait = 30 * time.Second
-	// keeperTimeout is how long a keeper has for an answer, besides any wait.
+	// maxBudgetWait is how long a request waits for tokens that other requests have
+	// reserved and may return unused.
+	maxBudgetWait = 30 * time.Second
+	// keeperTimeout bounds a call to a keeper, in addition to any wait for tokens.
 	keeperTimeout = 1500 * time.Millisecond
-	// retryKeeper is when to ask again while a key's home can't be reached.
-	retryKeeper = 2 * time.Second
-	retryStop   = time.Second
+	// keeperRetryAfter is the Retry-After for callers while the home keeper of their
+	// key is unreachable.
+	keeperRetryAfter = 2 * time.Second
+	// shortRetryAfter is the Retry-After where another box can answer at once, or an
+	// earlier attempt is about to.
+	shortRetryAfter = time.Second
 )
 
-// Admission is a request that has its tokens, or whose answer is already on
-// its way from an earlier attempt.
+// Admission is a request that has reserved its tokens, or that an earlier attempt
+// under the same key is answering or has answered.
 type Admission struct {
 	Request *Request
 	// keeper is the box that holds the record.
 	keeper string
 	record *statev1.RequestRecord
-	// mine says that this box runs the attempt; otherwise it only follows it.
-	mine bool
-	// taken says that the attempt was taken over from a box that has died.
-	taken bool
+	// owned is set if this box runs the attempt. Otherwise it only forwards the answer.
+	owned bool
+	// takenOver is set if the attempt was taken over from a box that died.
+	takenOver bool
 }
 
-// Admit decides at once whether a request may run.
+// Admit checks a request and reserves its tokens. It does not wait for a target, but
+// for up to maxBudgetWait for tokens.
 func (d *Dispatcher) Admit(ctx context.Context, r *Request) (*Admission, *Refusal) {
 	if refusal := d.precheck(r); refusal != nil {
 		return nil, refusal
 	}
-	candidates := d.candidates(r)
+	candidates := d.keeperCandidates(r)
 	if len(candidates) == 0 {
-		return nil, &Refusal{Kind: structs.KindNotReady, Run: structs.RunNo, RetryAfter: retryKeeper, Message: "no keeper is known yet: ask again shortly"}
+		return nil, &Refusal{Kind: structs.KindNotReady, Run: structs.RunNo, RetryAfter: keeperRetryAfter, Message: "no keeper is known yet: ask again shortly"}
 	}
-	if a, refusal := d.atFormerHome(ctx, r); a != nil || refusal != nil {
+	if a, refusal := d.reserveAtFormerHome(ctx, r); a != nil || refusal != nil {
 		return a, refusal
 	}
 	return d.reserve(ctx, r, candidates)
 }
 
-func (d *Dispatcher) candidates(r *Request) []*statev1.KeeperMember {
+func (d *Dispatcher) keeperCandidates(r *Request) []*statev1.KeeperMember {
 	keepers := d.opts.Config.Keepers()
 	if r.Anonymous {
-		return nearest(keepers, d.opts.Name, d.opts.DataCentre, r.Key)
+		return rankByDistance(keepers, d.opts.Name, d.opts.DataCentre, r.Key)
 	}
-	return homes(keepers, r.Group.GetName(), r.Key)
+	return rankKeepers(keepers, r.Group.GetName(), r.Key)
 }
 
-// atFormerHome looks for a record at the keeper that was home to the key
-// before the set of keepers grew.
-func (d *Dispatcher) atFormerHome(ctx context.Context, r *Request) (*Admission, *Refusal) {
+// reserveAtFormerHome continues a request whose record is at the keeper that was home
+// to the key before the current home joined. It returns nil and nil if there is none,
+// or if that keeper can't be reached and the request is repeatable.
+func (d *Dispatcher) reserveAtFormerHome(ctx context.Context, r *Request) (*Admission, *Refusal) {
 	if r.Anonymous {
 		return nil, nil
 	}
@@ -79,7 +84,7 @@
 		if r.Repeatable {
 			return nil, nil
 		}
-		return nil, d.unknown(former.GetBox())
+		return nil, d.outcomeUnknown(former.GetBox())
 	}
 	if !resp.GetFound() || resp.GetRequest().GetState() == statev1.RequestState_REQUEST_STATE_RELEASED {
 		return nil, nil
@@ -87,9 +92,10 @@
 	return d.reserve(ctx, r, []*statev1.KeeperMember{former})
 }
 
-// reserve asks the keepers in order. Only a request that may be repeated goes
-// on to the next one: its first attempt may have been recorded at a home that
-// can't be reached, and then it is billed once, when the two meet again.
+// reserve asks the keepers in order. Only a repeatable or anonymous request goes on to
+// the next keeper: its first attempt may have been recorded at a home that is now
+// unreachable. The two keepers reconcile once they can reach each other, so that the
+// request is billed once.
 func (d *Dispatcher) reserve(ctx context.Context, r *Request, keepers []*statev1.KeeperMember) (*Admission, *Refusal) {
 	home := keepers[0].GetBox()
 	var refusal *Refusal
@@ -98,9 +104,9 @@
 		if k.GetBox() != home && !r.Anonymous {
 			foreign = home
 		}
-		resp, err := d.ask(ctx, r, k.GetBox(), foreign)
+		resp, err := d.reserveAt(ctx, r, k.GetBox(), foreign)
 		if err == nil && resp.GetUnreachable() && (r.Repeatable || r.Anonymous) {
-			// Another keeper may have tokens that this one can't get at.
+			// Another keeper may hold tokens that this one can't obtain.
 			refusal = d.refusal(r, k.GetBox(), resp)
 			continue
 		}
@@ -109,29 +115,29 @@
 		}
 		d.opts.Recorder.Record("keeper can't be reached", r.ID, k.GetBox())
 		d.opts.Logger.Warn("a keeper can't be reached", "keeper", k.GetBox(), "request", r.ID, "error", err)
-		d.settler.add(k.GetBox(), &betweenv1.SettleRequest{Group: r.Group.GetName(), Key: r.Key, NotRun: true, Box: d.opts.Box})
+		d.settler.settleInBackground(k.GetBox(), &betweenv1.SettleRequest{Group: r.Group.GetName(), Key: r.Key, NotRun: true, Box: d.opts.Box})
 		if !r.Repeatable && !r.Anonymous {
-			return nil, d.unknown(home)
+			return nil, d.outcomeUnknown(home)
 		}
 	}
 	if refusal != nil {
 		return nil, refusal
 	}
-	return nil, &Refusal{Kind: structs.KindBudgetUnreachable, Run: structs.RunNo, RetryAfter: retryKeeper,
+	return nil, &Refusal{Kind: structs.KindBudgetUnreachable, Run: structs.RunNo, RetryAfter: keeperRetryAfter,
 		Message: "no keeper of budgets can be reached: ask again after the stated time"}
 }
 
-// ask asks a keeper without waiting first, so that one that can't be reached
-// shows soon; only where tokens are short is it asked to wait for them.
-func (d *Dispatcher) ask(ctx context.Context, r *Request, keeper, foreign string) (*betweenv1.ReserveResponse, error) {
-	resp, err := d.askFor(ctx, r, keeper, foreign, 0)
+// reserveAt asks a keeper without a wait first, so that an unreachable one is detected
+// soon. Only if tokens are short does it ask again, with a wait for them.
+func (d *Dispatcher) reserveAt(ctx context.Context, r *Request, keeper, foreign string) (*betweenv1.ReserveResponse, error) {
+	resp, err := d.reserveWithWait(ctx, r, keeper, foreign, 0)
 	if err != nil || resp.GetStatus() != betweenv1.ReserveStatus_RESERVE_STATUS_EXHAUSTED {
 		return resp, err
 	}
-	return d.askFor(ctx, r, keeper, foreign, max(time.Millisecond, min(budgetWait, r.Deadline.Sub(d.opts.Clock.Wall()))))
+	return d.reserveWithWait(ctx, r, keeper, foreign, max(time.Millisecond, min(maxBudgetWait, r.Deadline.Sub(d.opts.Clock.Wall()))))
 }
 
-func (d *Dispatcher) askFor(ctx context.Context, r *Request, keeper, foreign string, wait time.Duration) (*betweenv1.ReserveResponse, error) {
+func (d *Dispatcher) reserveWithWait(ctx context.Context, r *Request, keeper, foreign string, wait time.Duration) (*betweenv1.ReserveResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+keeperTimeout)
 	defer cancel()
 	return d.opts.Keepers.Reserve(ctx, keeper, &betweenv1.ReserveRequest{
@@ -152,26 +158,27 @@
 	})
 }
 
-// admitted turns a keeper's answer into an admission or a refusal.
+// admitted converts a keeper's response into an admission or a refusal.
 func (d *Dispatcher) admitted(ctx context.Context, r *Request, keeper string, resp *betweenv1.ReserveResponse) (*Admission, *Refusal) {
 	a := &Admission{Request: r, keeper: keeper, record: resp.GetRequest()}
 	switch resp.GetStatus() {
 	case betweenv1.ReserveStatus_RESERVE_STATUS_GRANTED:
-		a.mine = true
+		a.owned = true
 	case betweenv1.ReserveStatus_RESERVE_STATUS_TAKEN_OVER:
-		a.mine, a.taken = true, true
+		a.owned, a.takenOver = true, true
 	case betweenv1.ReserveStatus_RESERVE_STATUS_RUNNING, betweenv1.ReserveStatus_RESERVE_STATUS_DONE:
-		return d.elsewhere(ctx, a)
+		return d.followClaim(ctx, a)
 	default:
 		return nil, d.refusal(r, keeper, resp)
 	}
-	d.holds(keeper, 1)
+	d.addReservations(keeper, 1)
 	d.opts.Recorder.Record("reserved", r.ID, fmt.Sprintf("%d tokens at keeper %s, attempt %d", a.record.GetBound(), keeper, a.record.GetAttempt()))
 	return a, nil
 }
 
-// elsewhere finds the record that another ledger bills.
-func (d *Dispatcher) elsewhere(ctx context.Context, a *Admission) (*Admission, *Refusal) {
+// followClaim looks up the record at the keeper that has claimed the key, if another
+// one has, since that keeper bills the request.
+func (d *Dispatcher) followClaim(ctx context.Context, a *Admission) (*Admission, *Refusal) {
 	claimed := a.record.GetClaimedBy()
 	if claimed == "" {
 		return a, nil
@@ -181,11 +188,11 @@
 	defer cancel()
 	resp, err := d.opts.Keepers.Lookup(ctx, box, &betweenv1.LookupRequest{Group: a.record.GetGroup(), Key: a.record.GetKey()})
 	if err != nil || !resp.GetFound() {
-		return nil, d.unknown(box)
+		return nil, d.outcomeUnknown(box)
 	}
 	a.keeper, a.record = box, resp.GetRequest()
 	if a.record.GetBodyDigest() != a.Request.Digest {
-		return nil, conflict()
+		return nil, keyConflict()
 	}
 	return a, nil
 }
@@ -201,31 +208,31 @@
 		return &Refusal{Kind: structs.KindBudgetExhausted, Run: structs.RunNo, RetryAfter: retry,
 			Message: fmt.Sprintf("the request needs up to %d tokens, more than is left of budget %s: lower max_tokens, or ask an operator to grant more", r.Bound, r.Group.GetBudget())}
 	case betweenv1.ReserveStatus_RESERVE_STATUS_CONFLICT:
-		return conflict()
+		return keyConflict()
 	case betweenv1.ReserveStatus_RESERVE_STATUS_EXPIRED:
 		return &Refusal{Kind: structs.KindKeyExpired, Run: structs.RunUnknown,
 			Message: "this idempotency key is older than records are kept: nothing was run now; look whether the first attempt was answered, and take a new key if not"}
 	default:
-		return d.unknown(keeper)
+		return d.outcomeUnknown(keeper)
 	}
 }
 
-func conflict() *Refusal {
+func keyConflict() *Refusal {
 	return &Refusal{Kind: structs.KindKeyConflict, Run: structs.RunNo,
 		Message: "this idempotency key was used for another body: take a new key for a new request"}
 }
 
-func (d *Dispatcher) unknown(box string) *Refusal {
-	return &Refusal{Kind: structs.KindOutcomeUnknown, Run: structs.RunUnknown, RetryAfter: retryKeeper,
+func (d *Dispatcher) outcomeUnknown(box string) *Refusal {
+	return &Refusal{Kind: structs.KindOutcomeUnknown, Run: structs.RunUnknown, RetryAfter: keeperRetryAfter,
 		Message: fmt.Sprintf("keeper %s, which knows whether an earlier attempt under this key was run, can't tell now: nothing was run now; ask again with the same key after the stated time", box)}
 }
 
-// Find returns the record of a key for the state query of a caller. The home
-// is asked first; a request that ran while its home was cut off has its record
-// at another keeper.
+// Find returns the record of a key, for a caller that queries the state of its request.
+// The home keeper is asked first, then the others, since a request that ran while its
+// home was unreachable is recorded at another keeper.
 func (d *Dispatcher) Find(ctx context.Context, group *statev1.Group, key string) (*statev1.RequestRecord, *Refusal) {
 	certain := true
-	for _, k := range homes(d.opts.Config.Keepers(), group.GetName(), key) {
+	for _, k := range rankKeepers(d.opts.Config.Keepers(), group.GetName(), key) {
 		record, err := d.findAt(ctx, k.GetBox(), group.GetName(), key)
 		if record != nil {
 			return record, nil
@@ -233,7 +240,7 @@
 		certain = certain && err == nil
 	}
 	if !certain {
-		return nil, &Refusal{Kind: structs.KindOutcomeUnknown, Run: structs.RunUnknown, RetryAfter: retryKeeper,
+		return nil, &Refusal{Kind: structs.KindOutcomeUnknown, Run: structs.RunUnknown, RetryAfter: keeperRetryAfter,
 			Message: "a keeper that may know this key can't be reached: ask again after the stated time"}
 	}
 	return nil, &Refusal{Kind: structs.KindNotFound, Run: structs.RunNo,
--- a/services/dispatch/follow.go
+++ b/services/dispatch/follow.go
@@ -19,44 +19,45 @@
 
 func streamID(r *statev1.RequestRecord) string { return ledger.StreamID(r, r.GetRuns()) }
 
-// followInterval is the time between looks at a record whose request has not
-// been started yet.
+// followInterval is the polling interval for a record whose request has not been
+// started yet.
 const followInterval = 100 * time.Millisecond
 
-// takeOver carries on a request whose box has died after starting it: the run
-// is read again from its beginning, never started a second time while it may
-// be at work.
+// takeOver continues a request that another box started before it died. It reads the
+// answer of that run from the beginning, and never starts a second run while the first
+// may still be active.
 func (at *attempt) takeOver(ctx context.Context) (Result, *Refusal) {
-	name := at.a.record.GetTarget()
+	name := at.admission.record.GetTarget()
 	at.record("taken over", fmt.Sprintf("run %d at %s", at.runs, name))
-	out := outcome{target: name, replay: true}
+	out := runOutcome{target: name, replayed: true}
 	address := at.d.AddressOf(name)
 	if address == "" {
 		out.err = errors.New("the target is no longer listed")
-		return at.broken(ctx, out)
+		return at.settleFailed(ctx, out)
 	}
 	stream, err := at.d.opts.Engines.Resume(ctx, address, at.streamID(), 0)
 	if err == nil {
-		return at.settle(ctx, at.carry(ctx, address, stream, out))
+		return at.settle(ctx, at.forwardStream(ctx, address, stream, out))
 	}
-	return at.absent(ctx, address, out, err)
+	return at.handleUnknownRun(ctx, address, out, err)
 }
 
-// absent deals with a run that its target does not know: once the target has
-// promised to refuse it, it certainly was not run and may be started.
-func (at *attempt) absent(ctx context.Context, address string, out outcome, err error) (Result, *Refusal) {
+// handleUnknownRun handles a taken-over run that its target can't resume. If the target
+// does not know the run, cancelling it makes the target refuse the ID from then on:
+// only then is it certain that the request was not run and may be started again.
+func (at *attempt) handleUnknownRun(ctx context.Context, address string, out runOutcome, err error) (Result, *Refusal) {
 	out.err = err
-	ctxCancel, cancel := context.WithTimeout(ctx, cancelTime)
+	cancelCtx, cancel := context.WithTimeout(ctx, cancelTimeout)
 	defer cancel()
-	fate, cancelErr := at.d.opts.Engines.Cancel(ctxCancel, address, at.streamID())
-	if cancelErr != nil || fate.Known {
-		return at.broken(ctx, out)
+	state, cancelErr := at.d.opts.Engines.Cancel(cancelCtx, address, at.streamID())
+	if cancelErr != nil || state.Known {
+		return at.settleFailed(ctx, out)
 	}
-	at.lost = 0
+	at.lostTokens = 0
 	return at.run(ctx)
 }
 
-// follow carries the answer of an attempt that another box runs or has ended.
+// follow forwards the answer of an attempt that another box is running or has ended.
 func (d *Dispatcher) follow(ctx context.Context, a *Admission, sink Sink) (Result, *Refusal) {
 	record, refusal := d.awaitStart(ctx, a, sink)
 	if refusal != nil {
@@ -65,26 +66,26 @@
 	d.opts.Recorder.Record("following", a.Request.ID, fmt.Sprintf("run %d at %s", record.GetRuns(), record.GetTarget()))
 	address := d.AddressOf(record.GetTarget())
 	if address == "" {
-		return Result{}, gone(record)
+		return Result{}, answerGone(record)
 	}
 	stream, err := d.opts.Engines.Resume(ctx, address, streamID(record), 0)
 	if err != nil {
-		return Result{}, gone(record)
+		return Result{}, answerGone(record)
 	}
-	at := &attempt{d: d, a: &Admission{Request: a.Request, keeper: a.keeper, record: record}, sink: &guardedSink{sink: sink}, began: d.opts.Clock.Boot(), runs: record.GetRuns()}
-	out := at.carry(ctx, address, stream, outcome{target: record.GetTarget(), replay: true})
+	at := &attempt{d: d, admission: &Admission{Request: a.Request, keeper: a.keeper, record: record}, sink: &disconnectSafeSink{sink: sink}, startedAt: d.opts.Clock.Boot(), runs: record.GetRuns()}
+	out := at.forwardStream(ctx, address, stream, runOutcome{target: record.GetTarget(), replayed: true})
 	if out.err != nil {
-		return Result{}, gone(record)
+		return Result{}, answerGone(record)
 	}
 	return Result{Usage: out.usage, Billed: min(out.usage.Total(), record.GetBound()), Finish: out.finish, Target: out.target, Replayed: true}, nil
 }
 
-// awaitStart waits until a record has a run whose answer can be read.
+// awaitStart polls a record until its request has been started, and returns the record.
 func (d *Dispatcher) awaitStart(ctx context.Context, a *Admission, sink Sink) (*statev1.RequestRecord, *Refusal) {
 	record := a.record
 	for record.GetState() == statev1.RequestState_REQUEST_STATE_RESERVED {
 		if d.opts.Clock.Wall().After(a.Request.Deadline) || ctx.Err() != nil {
-			return nil, &Refusal{Kind: structs.KindRunning, Run: structs.RunUnknown, RetryAfter: retryKeeper,
+			return nil, &Refusal{Kind: structs.KindRunning, Run: structs.RunUnknown, RetryAfter: keeperRetryAfter,
 				Message: "an earlier attempt under this key still waits for a target: ask again with the same key after the stated time"}
 		}
 		if sink.Alive("an earlier attempt waits for a target") != nil {
@@ -93,20 +94,20 @@
 		time.Sleep(followInterval)
 		next, err := d.findAt(ctx, a.keeper, record.GetGroup(), record.GetKey())
 		if err != nil {
-			return nil, d.unknown(a.keeper)
+			return nil, d.outcomeUnknown(a.keeper)
 		}
 		if next != nil {
 			record = next
 		}
 	}
 	if record.GetState() == statev1.RequestState_REQUEST_STATE_RELEASED {
-		return nil, &Refusal{Kind: structs.KindRunning, Run: structs.RunNo, RetryAfter: retryStop,
+		return nil, &Refusal{Kind: structs.KindRunning, Run: structs.RunNo, RetryAfter: shortRetryAfter,
 			Message: "the earlier attempt under this key ended without being run: ask again with the same key"}
 	}
 	return record, nil
 }
 
-func gone(record *statev1.RequestRecord) *Refusal {
+func answerGone(record *statev1.RequestRecord) *Refusal {
 	if record.GetUncertain() {
 		return &Refusal{Kind: structs.KindOutcomeUnknown, Run: structs.RunUnknown, Billed: record.GetBilled(),
 			Message: "the target of this request was lost, and whether it was run can't be known any more: take a new key to run it anew"}
@@ -115,33 +116,34 @@
 		Message: "this request was run and its answer is no longer kept by its target: take a new key to run it anew"}
 }
 
-// Answer streams the answer of a recorded request from after an event on.
+// Answer streams the answer of a recorded request, beginning behind the event with
+// sequence number after.
 func (d *Dispatcher) Answer(ctx context.Context, record *statev1.RequestRecord, after int) (*engine.Stream, *Refusal) {
 	address := d.AddressOf(record.GetTarget())
 	if address == "" || record.GetRuns() == 0 {
-		return nil, gone(record)
+		return nil, answerGone(record)
 	}
 	stream, err := d.opts.Engines.Resume(ctx, address, streamID(record), after)
 	if err != nil {
-		return nil, gone(record)
+		return nil, answerGone(record)
 	}
 	return stream, nil
 }
 
-// Cancel ends the run of a recorded request; whoever runs it settles it.
+// Cancel ends the run of a recorded request. The box that runs it settles it.
 func (d *Dispatcher) Cancel(ctx context.Context, record *statev1.RequestRecord) *Refusal {
 	address := d.AddressOf(record.GetTarget())
 	if address == "" {
-		return &Refusal{Kind: structs.KindRunning, Run: structs.RunUnknown, RetryAfter: retryStop,
+		return &Refusal{Kind: structs.KindRunning, Run: structs.RunUnknown, RetryAfter: shortRetryAfter,
 			Message: "the request has no target yet: ask again after the stated time"}
 	}
 	if _, err := d.opts.Engines.Cancel(ctx, address, streamID(record)); err != nil {
-		return &Refusal{Kind: structs.KindTargetFailed, Run: structs.RunUnknown, RetryAfter: retryTarget, Message: "the target can't be asked to end the run: ask again"}
+		return &Refusal{Kind: structs.KindTargetFailed, Run: structs.RunUnknown, RetryAfter: targetRetryAfter, Message: "the target can't be asked to end the run: ask again"}
 	}
 	return nil
 }
 
-// Recover implements keeper.Recoverer: what became of a run whose box died.
+// Recover implements keeper.Recoverer. It asks the target about a run whose box died.
 func (d *Dispatcher) Recover(ctx context.Context, record *statev1.RequestRecord, abandon bool) (keeper.Recovery, error) {
 	address := d.AddressOf(record.GetTarget())
 	if address == "" {
@@ -151,64 +153,66 @@
 	if abandon {
 		ask = d.opts.Engines.Cancel
 	}
-	fate, err := ask(ctx, address, streamID(record))
+	state, err := ask(ctx, address, streamID(record))
 	if err != nil {
 		return keeper.Recovery{}, err
 	}
-	if !fate.Known && !abandon {
-		// Only after the engine has promised to refuse it is it certain that
-		// a request on its way is not run.
-		fate, err = d.opts.Engines.Cancel(ctx, address, streamID(record))
+	if !state.Known && !abandon {
+		// The request may still be in transit. It certainly won't run only after the
+		// engine has been told to refuse it.
+		state, err = d.opts.Engines.Cancel(ctx, address, streamID(record))
 	}
-	return keeper.Recovery{Ended: fate.Ended, Absent: !fate.Known, Used: fate.PromptTokens + fate.CompletionTokens}, err
+	return keeper.Recovery{Ended: state.Ended, Absent: !state.Known, Used: state.PromptTokens + state.CompletionTokens}, err
 }
 
-// guardedSink goes on after the caller has left, and remembers it.
-type guardedSink struct {
-	sink Sink
-	left bool
+// disconnectSafeSink wraps a sink and discards everything after the caller has disconnected,
+// so that the run can be read to its end and billed.
+type disconnectSafeSink struct {
+	sink         Sink
+	disconnected bool
 }
 
 // Alive implements Sink.
-func (g *guardedSink) Alive(note string) error {
-	if g.left {
+func (g *disconnectSafeSink) Alive(note string) error {
+	if g.disconnected {
 		return nil
 	}
 	err := g.sink.Alive(note)
-	g.left = err != nil
+	g.disconnected = err != nil
 	return err
 }
 
 // Event implements Sink.
-func (g *guardedSink) Event(e engine.Event) error {
-	if g.left {
+func (g *disconnectSafeSink) Event(e engine.Event) error {
+	if g.disconnected {
 		return nil
 	}
 	err := g.sink.Event(e)
-	g.left = err != nil
+	g.disconnected = err != nil
 	return err
 }
 
-// restart forgets what a lost run has left for a caller that wants the answer
-// in one piece.
-func (g *guardedSink) restart() {
+// reset discards the events of a failed run that have been collected for a caller that
+// wants the complete answer.
+func (g *disconnectSafeSink) reset() {
 	if w, ok := g.sink.(*WholeSink); ok {
 		w.Events = nil
 	}
 }
 
-func (g *guardedSink) gone() bool { return g.left }
+func (g *disconnectSafeSink) isDisconnected() bool { return g.disconnected }
 
-// streams tells whether events reach the caller as they come.
-func (g *guardedSink) streams() bool {
+// isStreaming reports whether events reach the caller as they arrive.
+func (g *disconnectSafeSink) isStreaming() bool {
 	_, whole := g.sink.(*WholeSink)
 	return !whole
 }
 
-// WholeSink gathers an answer for a caller that wants it in one piece.
+// WholeSink collects the events for a caller that wants the complete answer.
 type WholeSink struct {
 	Events []engine.Event
-	// Gone tells whether the caller has left; nil stands for never.
+	// Gone reports whether the caller has disconnected. Nil means that it is not
+	// checked.
 	Gone func() bool
 }
 
@@ -223,7 +227,7 @@
 
 func (w *WholeSink) check() error {
 	if w.Gone != nil && w.Gone() {
-		return errCallerLeft
+		return errCallerDisconnected
 	}
 	return nil
 }
--- a/services/dispatch/homes.go
+++ b/services/dispatch/homes.go
@@ -13,36 +13,37 @@
 	"havenwinch.dev/havenwinch/models/ledger"
 )
 
-// joinSkew is how far the clock that stamped a keeper's joining may differ
-// from the clock that made a key, in milliseconds.
-const joinSkew = 60_000
+// maxJoinSkew is the maximum difference, in milliseconds, between the clock that stamped
+// the joining of a keeper and the clock that stamped a key.
+const maxJoinSkew = 60_000
 
-// homes returns the keepers in the order in which they are home to a key, by
-// rendezvous hashing (Thaler and Ravishankar 1998). Every box gets the same
-// order, so a retry that reaches another box finds the record of the first
-// attempt. A key that starts with a data centre's name and a colon is at home
-// there.
-func homes(keepers []*statev1.KeeperMember, group, key string) []*statev1.KeeperMember {
+// rankKeepers returns the keepers in the order in which they are responsible for a key,
+// by rendezvous hashing (Thaler and Ravishankar 1998). The first one is the key's home.
+// Every box computes the same order, so that a retry that reaches another box finds the
+// record of the first attempt. For a key that starts with the name of a data centre and
+// a colon, the keepers of that data centre come first.
+func rankKeepers(keepers []*statev1.KeeperMember, group, key string) []*statev1.KeeperMember {
 	list := append([]*statev1.KeeperMember(nil), keepers...)
-	wanted, _, _ := strings.Cut(key, ":")
+	preferred, _, _ := strings.Cut(key, ":")
 	weight := make(map[string]uint64, len(list))
 	for _, k := range list {
 		weight[k.GetBox()] = xxhash.Sum64String(group + "\x00" + key + "\x00" + k.GetBox())
 	}
 	sort.Slice(list, func(i, j int) bool {
 		a, b := list[i], list[j]
-		if (a.GetDataCentre() == wanted) != (b.GetDataCentre() == wanted) {
-			return a.GetDataCentre() == wanted
+		if (a.GetDataCentre() == preferred) != (b.GetDataCentre() == preferred) {
+			return a.GetDataCentre() == preferred
 		}
 		return weight[a.GetBox()] > weight[b.GetBox()]
 	})
 	return list
 }
 
-// nearest returns the keepers for a request without a key of the caller's,
-// which no other attempt can share: this box, its data centre, the rest.
-func nearest(keepers []*statev1.KeeperMember, box, dataCentre, key string) []*statev1.KeeperMember {
-	list := homes(keepers, "", key)
+// rankByDistance returns the keepers for a request without an idempotency key: the one
+// on this box, those of its data centre, the rest. No other attempt has to find the
+// record of such a request.
+func rankByDistance(keepers []*statev1.KeeperMember, box, dataCentre, key string) []*statev1.KeeperMember {
+	list := rankKeepers(keepers, "", key)
 	sort.SliceStable(list, func(i, j int) bool {
 		return distance(list[i], box, dataCentre) < distance(list[j], box, dataCentre)
 	})
@@ -60,24 +61,25 @@
 	}
 }
 
-// formerHome returns the keeper that was home to a key before the present home
-// joined, when a record of the key may still stand there; nil otherwise.
+// formerHome returns the keeper that was home to a key before the current home joined.
+// It returns nil if that keeper can't have a record of the key any more: the current
+// home joined before since, or before the key was made.
 func formerHome(keepers []*statev1.KeeperMember, group, key string, since int64) *statev1.KeeperMember {
-	home := homes(keepers, group, key)[0]
+	home := rankKeepers(keepers, group, key)[0]
 	if home.GetJoined() < since {
 		return nil
 	}
-	if born, timed := ledger.KeyTime(key); timed && born > home.GetJoined()+joinSkew {
+	if created, ok := ledger.KeyTime(key); ok && created > home.GetJoined()+maxJoinSkew {
 		return nil
 	}
-	var before []*statev1.KeeperMember
+	var earlier []*statev1.KeeperMember
 	for _, k := range keepers {
 		if k.GetJoined() < home.GetJoined() {
-			before = append(before, k)
+			earlier = append(earlier, k)
 		}
 	}
-	if len(before) == 0 {
+	if len(earlier) == 0 {
 		return nil
 	}
-	return homes(before, group, key)[0]
+	return rankKeepers(earlier, group, key)[0]
 }
--- a/services/dispatch/keepers.go
+++ b/services/dispatch/keepers.go
@@ -14,9 +14,8 @@
 	"havenwinch.dev/havenwinch/services/keeper"
 )
 
-// RemoteKeepers reaches ledgers by their boxes' names: the one on this box
-// directly, the others over the network. It implements Keepers and
-// keeper.Homes.
+// RemoteKeepers calls the ledgers of boxes: the one on this box directly, the others
+// over the network. It implements Keepers and keeper.Homes.
 type RemoteKeepers struct {
 	Self string
 	// Local is nil on a box without a ledger.
@@ -25,11 +24,11 @@
 	Client func(address string) betweenv1connect.KeeperServiceClient
 }
 
-// ErrNoKeeper says that a box has no ledger.
+// ErrNoKeeper means that the configuration lists no keeper on a box.
 type ErrNoKeeper struct{ Box string }
 
 func (e ErrNoKeeper) Error() string {
-	return "box " + e.Box + " is not known as a keeper: wait until the configuration names it"
+	return "box " + e.Box + " is not listed as a keeper in the configuration"
 }
 
 func (k *RemoteKeepers) client(box string) (betweenv1connect.KeeperServiceClient, error) {
@@ -43,7 +42,7 @@
 
 func (k *RemoteKeepers) local(box string) bool { return box == k.Self && k.Local != nil }
 
-// call sends a request to the ledger of another box.
+// call sends a request to the ledger of another box. m is the method to call.
 func call[Q, A any](ctx context.Context, k *RemoteKeepers, box string, r *Q, m func(betweenv1connect.KeeperServiceClient, context.Context, *connect.Request[Q]) (*connect.Response[A], error)) (*A, error) {
 	client, err := k.client(box)
 	if err != nil {
--- a/services/dispatch/quarantine.go
+++ b/services/dispatch/quarantine.go
@@ -13,28 +13,28 @@
 	"havenwinch.dev/havenwinch/structs"
 )
 
-// reachTimeout bounds the trial connection to a target that broke a request off.
+// reachTimeout bounds the test connection to a target that failed a request.
 const reachTimeout = 300 * time.Millisecond
 
-// Quarantine knows the requests that are held back since targets end under them.
+// Quarantine tracks requests that make targets crash and are therefore refused.
 type Quarantine interface {
-	// Held tells whether a request is held back, and for how long.
+	// Held reports whether a request is quarantined, and for how much longer.
 	Held(c quarantine.Content) (left time.Duration, held bool)
-	// Ended notes that a target ended while it had a request.
+	// Ended records that a target process ended while it had a request.
 	Ended(c quarantine.Content, target string, weight uint32)
-	// Served notes that a request has ended well.
+	// Served records that a request was answered.
 	Served(c quarantine.Content)
 }
 
-// contentOf returns the digest by which a request is known when its caller sends it
-// again under another key: the organisation, the model and what was sent.
-func contentOf(r *Request) quarantine.Content {
+// quarantineContent returns the digest of the organisation, the model and the body. It
+// identifies a request that its caller sends again under another key.
+func quarantineContent(r *Request) quarantine.Content {
 	return quarantine.Of(r.Organisation, r.Model, "", []byte(r.Digest))
 }
 
-// heldBack refuses a request under which targets end.
-func (d *Dispatcher) heldBack(r *Request) *Refusal {
-	left, held := d.opts.Quarantine.Held(contentOf(r))
+// checkQuarantine returns a refusal if a request is quarantined, nil otherwise.
+func (d *Dispatcher) checkQuarantine(r *Request) *Refusal {
+	left, held := d.opts.Quarantine.Held(quarantineContent(r))
 	if !held {
 		return nil
 	}
@@ -42,9 +42,10 @@
 		Message: "targets ended each time they began to run this request, so it is held back for the stated time: send another one in its place, or ask an operator to look at its content"}
 }
 
-// struck finds out whether a target that broke a request off has ended: its machine
-// refuses a connection then. A target that leaves ends in its own time.
-func (d *Dispatcher) struck(r *Request, s *slot, early bool) {
+// reportIfEnded checks in the background whether the process of a target that failed a
+// request has ended, and reports that to the quarantine. Its machine refuses connections
+// in that case. A target that is leaving is not checked, since it is expected to end.
+func (d *Dispatcher) reportIfEnded(r *Request, s *slot, early bool) {
 	d.mu.Lock()
 	leaving := s.target.StateAt(d.opts.Clock.Boot()) == target.Leaving
 	epoch, _ := s.target.Cache.Next()
@@ -59,7 +60,7 @@
 		if !engine.IsErrRefused(d.opts.Engines.Reach(ctx, s.address)) {
 			return
 		}
-		c := contentOf(r)
+		c := quarantineContent(r)
 		d.opts.Logger.Warn("target ended under a request", "target", name, "address", s.address, "request", r.ID, "content", c.String(), "before_answer", early)
 		d.opts.Recorder.Record("target ended", r.ID, name)
 		d.opts.Quarantine.Ended(c, name, quarantine.Weight(early))
--- a/services/dispatch/retry.go
+++ b/services/dispatch/retry.go
@@ -3,20 +3,20 @@
 
 package dispatch
 
-// retryBudget keeps retries from making an overload worse: each request adds
-// a part of a retry, each retry takes a whole one.
+// retryBudget is a token bucket that limits retries, so that they don't make an overload
+// worse: each run adds retryRatio tokens, each retry takes one.
 type retryBudget struct {
 	tokens float64
 }
 
 const (
-	retryShare = 0.1
-	retryMost  = 10
+	retryRatio     = 0.1
+	maxRetryTokens = 10
 )
 
-func (b *retryBudget) earn() { b.tokens = min(retryMost, b.tokens+retryShare) }
+func (b *retryBudget) deposit() { b.tokens = min(maxRetryTokens, b.tokens+retryRatio) }
 
-func (b *retryBudget) take() bool {
+func (b *retryBudget) withdraw() bool {
 	if b.tokens < 1 {
 		return false
 	}
@@ -24,18 +24,20 @@
 	return true
 }
 
-// mayRetry takes a retry out of a pool's budget.
-func (d *Dispatcher) mayRetry(pool string) bool {
+// takeRetry takes a retry from the budget of a pool. It returns false if the budget is
+// used up.
+func (d *Dispatcher) takeRetry(pool string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.retryBudget(pool).take()
+	return d.retryBudgetOf(pool).withdraw()
 }
 
-func (d *Dispatcher) retryBudget(pool string) *retryBudget {
-	b := d.retries[pool]
+// retryBudgetOf returns the budget of a pool, which starts full. The caller holds d.mu.
+func (d *Dispatcher) retryBudgetOf(pool string) *retryBudget {
+	b := d.retryBudgets[pool]
 	if b == nil {
-		b = &retryBudget{tokens: retryMost}
-		d.retries[pool] = b
+		b = &retryBudget{tokens: maxRetryTokens}
+		d.retryBudgets[pool] = b
 	}
 	return b
 }
--- a/services/dispatch/serve.go
+++ b/services/dispatch/serve.go
@@ -18,85 +18,88 @@
 )
 
 const (
-	// maxResumes is how often a broken stream is taken up again.
+	// maxResumes is the number of times that a broken stream is resumed.
 	maxResumes = 3
-	// maxStarts is how many targets one request may be started at.
-	maxStarts   = 3
+	// maxStarts is the number of targets that one request may be started at.
+	maxStarts = 3
+	// resumePause is the delay before the first resume; it grows linearly.
 	resumePause = 50 * time.Millisecond
 )
 
-// attempt is the work on one admitted request.
+// attempt is the state of one admitted request while this box serves it.
 type attempt struct {
-	d     *Dispatcher
-	a     *Admission
-	sink  *guardedSink
-	need  target.Need
-	began time.Duration
-	// runs is the number of starts so far.
+	d         *Dispatcher
+	admission *Admission
+	sink      *disconnectSafeSink
+	need      target.Need
+	startedAt time.Duration
+	// runs is the number of runs started so far, over all boxes.
 	runs uint32
-	// lost is what former runs may have used at most.
-	lost uint64
+	// lostTokens is the maximum number of tokens that failed runs may have used and
+	// that the keeper has not been told of yet.
+	lostTokens uint64
 }
 
-// Serve runs an admitted request and carries its answer to the sink. Whatever
-// happens, the request is settled once.
+// Serve runs an admitted request and forwards its answer to the sink. The request is
+// settled exactly once, whatever its outcome.
 func (d *Dispatcher) Serve(ctx context.Context, a *Admission, sink Sink) (Result, *Refusal) {
-	if !a.mine {
+	if !a.owned {
 		return d.follow(ctx, a, sink)
 	}
-	defer d.holds(a.keeper, -1)
+	defer d.addReservations(a.keeper, -1)
 	ctx, cancel := context.WithDeadline(ctx, a.Request.Deadline)
 	defer cancel()
-	at := &attempt{d: d, a: a, sink: &guardedSink{sink: sink}, need: d.needOf(a.Request), began: d.opts.Clock.Boot(), runs: a.record.GetRuns()}
-	if a.taken {
+	at := &attempt{d: d, admission: a, sink: &disconnectSafeSink{sink: sink}, need: d.needOf(a.Request), startedAt: d.opts.Clock.Boot(), runs: a.record.GetRuns()}
+	if a.takenOver {
 		return at.takeOver(ctx)
 	}
 	return at.run(ctx)
 }
 
-// run starts the request at a target, and at another one when the first
-// certainly has not run it or when it may be repeated.
+// run starts the request at a target. It tries another target if the first one has
+// certainly not run the request, or if the request is repeatable.
 func (at *attempt) run(ctx context.Context) (Result, *Refusal) {
 	for start := 1; ; start++ {
 		s, refusal := at.acquire(ctx)
 		if refusal != nil {
-			return at.giveUp(ctx, refusal)
+			return at.settleUnserved(ctx, refusal)
 		}
-		if refusal := at.d.heldBack(at.a.Request); refusal != nil {
+		if refusal := at.d.checkQuarantine(at.admission.Request); refusal != nil {
 			at.d.release(s, true)
-			return at.giveUp(ctx, refusal)
+			return at.settleUnserved(ctx, refusal)
 		}
-		at.record("target chosen", s.target.Name+"; "+explain(s.scores))
+		at.record("target chosen", s.target.Name+"; "+formatScores(s.scores))
 		out := at.runAt(ctx, s)
-		at.d.release(s, out.sound)
+		at.d.release(s, out.targetOK)
 		if out.err != nil && !out.notRun && ctx.Err() == nil {
-			at.d.struck(at.a.Request, s, out.seen == 0)
+			at.d.reportIfEnded(at.admission.Request, s, out.lastEvent == 0)
 		}
-		if start == maxStarts || at.final(ctx, out) || !at.d.mayRetry(s.pool) {
+		if start == maxStarts || at.isFinal(ctx, out) || !at.d.takeRetry(s.pool) {
 			return at.settle(ctx, out)
 		}
 		at.need.Exclude[s.target.Name] = true
-		at.noteLost(ctx, out, s)
-		at.sink.restart()
+		at.recordLostRun(ctx, out, s)
+		at.sink.reset()
 	}
 }
 
-// final tells whether a run leaves nothing to try: it ended, or its answer has
-// begun to reach the caller, or the keeper has spoken, or it may be at work
-// and must not run twice.
-func (at *attempt) final(ctx context.Context, out outcome) bool {
+// isFinal reports whether the request must not be started again after a run: the run
+// completed, part of its answer has reached the caller, the keeper refused the start,
+// the request or its caller is gone, or the run may still be active and the request is
+// not repeatable.
+func (at *attempt) isFinal(ctx context.Context, out runOutcome) bool {
 	switch {
-	case out.err == nil, out.sent, out.refused, ctx.Err() != nil:
+	case out.err == nil, out.sentToCaller, out.startRefused, ctx.Err() != nil:
 		return true
-	case errors.Cause(out.err) == errCallerLeft:
+	case errors.Cause(out.err) == errCallerDisconnected:
 		return true
 	default:
-		return !out.notRun && !at.a.Request.Repeatable
+		return !out.notRun && !at.admission.Request.Repeatable
 	}
 }
 
 func (at *attempt) acquire(ctx context.Context) (*slot, *Refusal) {
-	r := at.a.Request
+	r := at.admission.Request
 	left := r.Deadline.Sub(at.d.opts.Clock.Wall())
 	it := queue.Item{
 		Organisation: r.Organisation,
@@ -111,107 +114,112 @@
 }
 
 func (at *attempt) record(kind, detail string) {
-	at.d.opts.Recorder.Record(kind, at.a.Request.ID, detail)
+	at.d.opts.Recorder.Record(kind, at.admission.Request.ID, detail)
 }
 
-// outcome is what became of one run.
-type outcome struct {
+// runOutcome is the outcome of one run.
+type runOutcome struct {
 	usage  *engine.Usage
 	finish string
 	target string
-	// err is why there is no whole answer.
+	// err is nil if the answer is complete.
 	err error
-	// notRun says that the target certainly has not run it.
+	// notRun is set if the target has certainly not run the request.
 	notRun bool
-	// sound says that the target did its part.
-	sound bool
-	// refused says that the keeper did not allow this start.
-	refused bool
-	seen    uint64
-	sent    bool
-	replay  bool
+	// targetOK is set if the target is not to blame for a failure; it counts for the
+	// target's health.
+	targetOK bool
+	// startRefused is set if the keeper did not record the start.
+	startRefused bool
+	// lastEvent is the sequence number of the last event received.
+	lastEvent uint64
+	// sentToCaller is set if part of the answer has reached the caller.
+	sentToCaller bool
+	replayed     bool
 }
 
-// runAt records the start at the keeper and then sends the request.
-func (at *attempt) runAt(ctx context.Context, s *slot) outcome {
-	out := outcome{target: s.target.Name, sound: true}
+// runAt records the start at the keeper and then sends the request to the slot's
+// target.
+func (at *attempt) runAt(ctx context.Context, s *slot) runOutcome {
+	out := runOutcome{target: s.target.Name, targetOK: true}
 	accepted, err := at.start(ctx, s.target.Name)
 	if err != nil || !accepted {
-		out.err, out.refused, out.notRun = err, true, true
+		out.err, out.startRefused, out.notRun = err, true, true
 		if err == nil {
-			out.err = errors.New("another box has taken this request over")
+			out.err = errors.New("another box has taken over this request")
 		}
 		return out
 	}
 	at.record("started", fmt.Sprintf("%s, run %d", s.target.Name, at.runs))
-	r := at.a.Request
+	r := at.admission.Request
 	call := engine.Call{ID: at.streamID(), Scope: r.Scope, Interactive: r.Interactive(), Body: r.Body}
 	stream, err := at.d.opts.Engines.Generate(ctx, s.address, call)
 	if err != nil {
-		return at.failed(ctx, s.address, out, err)
+		return at.handleNoStream(ctx, s.address, out, err)
 	}
-	return at.carry(ctx, s.address, stream, out)
+	return at.forwardStream(ctx, s.address, stream, out)
 }
 
-func (at *attempt) streamID() string { return ledger.StreamID(at.a.record, at.runs) }
+func (at *attempt) streamID() string { return ledger.StreamID(at.admission.record, at.runs) }
 
 func (at *attempt) start(ctx context.Context, name string) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, keeperTimeout)
 	defer cancel()
-	record := at.a.record
-	resp, err := at.d.opts.Keepers.Start(ctx, at.a.keeper, &betweenv1.StartRequest{
+	record := at.admission.record
+	resp, err := at.d.opts.Keepers.Start(ctx, at.admission.keeper, &betweenv1.StartRequest{
 		Group:        record.GetGroup(),
 		Key:          record.GetKey(),
 		Attempt:      record.GetAttempt(),
 		Target:       name,
-		FormerNotRun: at.lost == 0,
-		Lost:         at.lost,
+		FormerNotRun: at.lostTokens == 0,
+		Lost:         at.lostTokens,
 	})
 	if err != nil {
 		return false, err
 	}
 	if resp.GetAccepted() {
-		at.runs, at.lost = resp.GetRuns(), 0
+		at.runs, at.lostTokens = resp.GetRuns(), 0
 	}
 	return resp.GetAccepted(), nil
 }
 
-// failed deals with a request that got no stream. Unless it certainly was not
-// run, the target is asked for the run by its name.
-func (at *attempt) failed(ctx context.Context, address string, out outcome, err error) outcome {
+// handleNoStream handles a request that was sent without a stream in return. Unless
+// the request certainly was not run, it tries to resume the run by its ID, and to
+// cancel it if that fails.
+func (at *attempt) handleNoStream(ctx context.Context, address string, out runOutcome, err error) runOutcome {
 	out.err = err
 	status, answered := errors.Cause(err).(engine.ErrStatus)
-	out.sound = answered && status.NotRun
-	out.notRun = engine.IsErrNotSent(err) || out.sound
+	out.targetOK = answered && status.NotRun
+	out.notRun = engine.IsErrNotSent(err) || out.targetOK
 	if out.notRun || ctx.Err() != nil {
 		return out
 	}
 	at.record("no answer", err.Error())
 	if stream, err := at.resume(ctx, address, 0, 1); err == nil {
-		return at.carry(ctx, address, stream, out)
+		return at.forwardStream(ctx, address, stream, out)
 	}
-	ctx, cancel := context.WithTimeout(ctx, cancelTime)
+	ctx, cancel := context.WithTimeout(ctx, cancelTimeout)
 	defer cancel()
-	fate, err := at.d.opts.Engines.Cancel(ctx, address, at.streamID())
-	out.notRun = err == nil && !fate.Known
+	state, err := at.d.opts.Engines.Cancel(ctx, address, at.streamID())
+	out.notRun = err == nil && !state.Known
 	return out
 }
 
-// carry hands the events of a stream on, and takes a broken stream up again
-// where it broke.
-func (at *attempt) carry(ctx context.Context, address string, stream *engine.Stream, out outcome) outcome {
+// forwardStream forwards a stream to the sink. It resumes a broken stream after the
+// last event received, up to maxResumes times.
+func (at *attempt) forwardStream(ctx context.Context, address string, stream *engine.Stream, out runOutcome) runOutcome {
 	resumes := 0
 	for {
-		err := at.drain(stream, &out)
+		err := at.forwardEvents(stream, &out)
 		stream.Close()
-		if err == nil || ctx.Err() != nil || resumes == maxResumes || errors.Cause(err) == errCallerLeft {
+		if err == nil || ctx.Err() != nil || resumes == maxResumes || errors.Cause(err) == errCallerDisconnected {
 			out.err = err
 			return out
 		}
-		out.sound = false
+		out.targetOK = false
 		resumes++
 		at.record("stream broke", err.Error())
-		if stream, err = at.resume(ctx, address, int(out.seen), resumes); err != nil {
+		if stream, err = at.resume(ctx, address, int(out.lastEvent), resumes); err != nil {
 			out.err = err
 			return out
 		}
@@ -227,8 +235,9 @@
 	return at.d.opts.Engines.Resume(ctx, address, at.streamID(), after)
 }
 
-// drain hands events on until the engine's mark of the end.
-func (at *attempt) drain(stream *engine.Stream, out *outcome) error {
+// forwardEvents forwards events until the engine's end-of-stream event. Without that
+// event the stream is incomplete and an error is returned.
+func (at *attempt) forwardEvents(stream *engine.Stream, out *runOutcome) error {
 	for {
 		e, err := stream.Next()
 		if err != nil {
@@ -240,10 +249,10 @@
 			}
 			return nil
 		}
-		if out.seen == 0 {
-			at.d.opts.Metrics.FirstToken(at.a.Request.Interactive(), at.d.opts.Clock.Boot()-at.began)
+		if out.lastEvent == 0 {
+			at.d.opts.Metrics.FirstToken(at.admission.Request.Interactive(), at.d.opts.Clock.Boot()-at.startedAt)
 		}
-		out.seen = uint64(e.Sequence)
+		out.lastEvent = uint64(e.Sequence)
 		if e.Usage != nil {
 			out.usage = e.Usage
 		}
@@ -252,17 +261,17 @@
 		}
 		at.d.opts.Metrics.Tokens(1)
 		if at.sink.Event(e) == nil {
-			out.sent = out.sent || at.sink.streams()
+			out.sentToCaller = out.sentToCaller || at.sink.isStreaming()
 		}
-		if at.sink.gone() && at.a.Request.Anonymous {
-			return errCallerLeft
+		if at.sink.isDisconnected() && at.admission.Request.Anonymous {
+			return errCallerDisconnected
 		}
 	}
 }
 
-var errCallerLeft = errors.New("the caller left")
+var errCallerDisconnected = errors.New("the caller left")
 
-// AddressOf returns a target's address, empty when it is not known.
+// AddressOf returns a target's address, or "" if the target is not listed.
 func (d *Dispatcher) AddressOf(name string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/services/dispatch/service.go
+++ b/services/dispatch/service.go
@@ -16,20 +16,20 @@
 	"havenwinch.dev/havenwinch/structs"
 )
 
-// ServiceRequest is a call of a plain service. Its Request carries no bound;
-// Model is empty.
+// ServiceRequest is a call to a plain service rather than a model. Its Request
+// has a zero Bound and an empty Model.
 type ServiceRequest struct {
 	*Request
 	Service string
 	Call    engine.ServiceCall
 }
 
-// maxServiceTries is how many servers a call that may be repeated is sent to.
+// maxServiceTries is the number of servers that a repeatable call is sent to.
 const maxServiceTries = 2
 
-// ServeService sends a call to a server of a plain service. A call that may
-// not be repeated reaches at most one server; with a key it does so at most
-// once over all attempts of the caller.
+// ServeService sends a call to a server of a plain service. A call that is not
+// repeatable reaches at most one server. If it also has an idempotency key, that
+// holds across all attempts of the caller.
 func (d *Dispatcher) ServeService(ctx context.Context, r *ServiceRequest) (*engine.ServiceAnswer, *Refusal) {
 	ctx, cancel := context.WithDeadline(ctx, r.Deadline)
 	defer cancel()
@@ -40,69 +40,69 @@
 	if r.Anonymous {
 		return d.callService(ctx, r, need, nil)
 	}
-	a, refusal := d.reserve(ctx, r.Request, d.candidates(r.Request))
+	a, refusal := d.reserve(ctx, r.Request, d.keeperCandidates(r.Request))
 	if refusal != nil {
 		return nil, refusal
 	}
-	if !a.mine {
-		return nil, serviceAgain(a)
+	if !a.owned {
+		return nil, refuseRepeatedCall(a)
 	}
-	defer d.holds(a.keeper, -1)
-	if a.taken && !r.Repeatable {
+	defer d.addReservations(a.keeper, -1)
+	if a.takenOver && !r.Repeatable {
 		return nil, &Refusal{Kind: structs.KindOutcomeUnknown, Run: structs.RunUnknown,
 			Message: "the box that sent this call has died before it was answered: nothing was sent now; ask the service itself whether the call took effect"}
 	}
 	return d.callService(ctx, r, need, a)
 }
 
-func serviceAgain(a *Admission) *Refusal {
+func refuseRepeatedCall(a *Admission) *Refusal {
 	if a.record.GetUncertain() {
-		return serviceFailed(false, false)
+		return serviceFailure(false, false)
 	}
 	if a.record.GetState() == statev1.RequestState_REQUEST_STATE_DONE {
 		return &Refusal{Kind: structs.KindAnswerGone, Run: structs.RunYes, Message: "this call was sent before under the same key and its answer is not kept: nothing was sent now"}
 	}
-	return &Refusal{Kind: structs.KindRunning, Run: structs.RunUnknown, RetryAfter: retryStop, Message: "an earlier attempt under this key is under way: ask again after the stated time"}
+	return &Refusal{Kind: structs.KindRunning, Run: structs.RunUnknown, RetryAfter: shortRetryAfter, Message: "an earlier attempt under this key is under way: ask again after the stated time"}
 }
 
 func (d *Dispatcher) precheckService(need target.Need, r *ServiceRequest) *Refusal {
-	if refusal := d.heldBack(r.Request); refusal != nil {
+	if refusal := d.checkQuarantine(r.Request); refusal != nil {
 		return refusal
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	candidates, pool := d.poolOf(need)
 	if len(candidates) == 0 {
-		return &Refusal{Kind: structs.KindNoTarget, Run: structs.RunNo, RetryAfter: retryKeeper, Message: "no server of service " + r.Service + " is listed now: ask again after the stated time"}
+		return &Refusal{Kind: structs.KindNoTarget, Run: structs.RunNo, RetryAfter: keeperRetryAfter, Message: "no server of service " + r.Service + " is listed now: ask again after the stated time"}
 	}
 	return d.checkQueue(pool, r.Request)
 }
 
-// callService tries servers in turn, as far as the call may be repeated or
-// certainly was not sent.
+// callService tries servers one after another. It moves on to the next server only
+// if the call is repeatable or was certainly not sent.
 func (d *Dispatcher) callService(ctx context.Context, r *ServiceRequest, need target.Need, a *Admission) (*engine.ServiceAnswer, *Refusal) {
-	at := &attempt{d: d, a: a}
-	// mayHaveRun says that an earlier server broke off after it had the call.
+	at := &attempt{d: d, admission: a}
+	// mayHaveRun is set once a server has failed after the call was sent to it.
 	mayHaveRun := false
 	refuse := func(refusal *Refusal) *Refusal {
 		if mayHaveRun {
 			refusal.Run = structs.RunUnknown
 		}
-		return at.endService(ctx, refusal)
+		return at.settleService(ctx, refusal)
 	}
 	for try := 1; ; try++ {
 		s, refusal := d.acquire(ctx, queue.Item{Organisation: r.Organisation, Interactive: true, Deadline: d.opts.Clock.Boot() + time.Until(r.Deadline)}, need, func(int) error { return nil })
 		if refusal != nil {
 			return nil, refuse(refusal)
 		}
-		if refusal := d.heldBack(r.Request); refusal != nil {
+		if refusal := d.checkQuarantine(r.Request); refusal != nil {
 			d.release(s, true)
 			return nil, refuse(refusal)
 		}
 		if a != nil {
 			if accepted, err := at.start(ctx, s.target.Name); err != nil || !accepted {
 				d.release(s, true)
-				return nil, refuse(&Refusal{Kind: structs.KindBudgetUnreachable, Run: structs.RunNo, RetryAfter: retryKeeper, Message: "the start of this call could not be recorded, so it was not sent: ask again after the stated time"})
+				return nil, refuse(&Refusal{Kind: structs.KindBudgetUnreachable, Run: structs.RunNo, RetryAfter: keeperRetryAfter, Message: "the start of this call could not be recorded, so it was not sent: ask again after the stated time"})
 			}
 		}
 		d.opts.Recorder.Record("service called", r.ID, s.target.Name)
@@ -111,42 +111,42 @@
 		answer, err := d.opts.Engines.CallService(ctx, s.address, call)
 		d.release(s, err == nil)
 		if err == nil {
-			at.endService(ctx, nil)
+			at.settleService(ctx, nil)
 			if answer.Code < http.StatusInternalServerError {
-				d.opts.Quarantine.Served(contentOf(r.Request))
+				d.opts.Quarantine.Served(quarantineContent(r.Request))
 			}
 			return answer, nil
 		}
 		notSent := engine.IsErrNotSent(err)
 		if !notSent && ctx.Err() == nil {
-			d.struck(r.Request, s, true)
+			d.reportIfEnded(r.Request, s, true)
 		}
-		again := try < maxServiceTries && (notSent || r.Repeatable) && ctx.Err() == nil && d.mayRetry(s.pool)
+		again := try < maxServiceTries && (notSent || r.Repeatable) && ctx.Err() == nil && d.takeRetry(s.pool)
 		if !again {
-			return nil, refuse(serviceFailed(notSent && !mayHaveRun, r.Repeatable))
+			return nil, refuse(serviceFailure(notSent && !mayHaveRun, r.Repeatable))
 		}
 		mayHaveRun = mayHaveRun || !notSent
 		need.Exclude[s.target.Name] = true
 	}
 }
 
-func serviceFailed(notSent, repeatable bool) *Refusal {
+func serviceFailure(notSent, repeatable bool) *Refusal {
 	if notSent {
-		return &Refusal{Kind: structs.KindTargetFailed, Run: structs.RunNo, RetryAfter: retryTarget, Message: "no server took the call: ask again after the stated time"}
+		return &Refusal{Kind: structs.KindTargetFailed, Run: structs.RunNo, RetryAfter: targetRetryAfter, Message: "no server took the call: ask again after the stated time"}
 	}
 	refusal := &Refusal{Kind: structs.KindTargetFailed, Run: structs.RunUnknown, Message: "the server closed the connection without an answer: ask the service itself whether the call took effect before sending it under a new key"}
 	if repeatable {
-		refusal.RetryAfter = retryTarget
+		refusal.RetryAfter = targetRetryAfter
 		refusal.Message = "the server closed the connection without an answer: ask again after the stated time"
 	}
 	return refusal
 }
 
-// endService settles the record of a call with a key; the call was not sent
-// when the refusal says so.
-func (at *attempt) endService(ctx context.Context, refusal *Refusal) *Refusal {
-	if at.a != nil {
-		at.finish(ctx, ledger.Bill{NotRun: refusal != nil && refusal.Run == structs.RunNo, Uncertain: refusal != nil})
+// settleService settles the record of a call with a key. A refusal with Run set to
+// RunNo is recorded as a call that was not sent.
+func (at *attempt) settleService(ctx context.Context, refusal *Refusal) *Refusal {
+	if at.admission != nil {
+		at.sendBill(ctx, ledger.Bill{NotRun: refusal != nil && refusal.Run == structs.RunNo, Uncertain: refusal != nil})
 	}
 	return refusal
 }
--- a/services/dispatch/settler.go
+++ b/services/dispatch/settler.go
@@ -15,20 +15,20 @@
 )
 
 const (
-	settleFirst = 50 * time.Millisecond
-	settleMost  = 5 * time.Second
-	// settleLimit is how long a bill is repeated. After it the keeper has seen
-	// to the request itself, see its orphans.
-	settleLimit = time.Hour
+	settleMinBackoff = 50 * time.Millisecond
+	settleMaxBackoff = 5 * time.Second
+	// settleMaxElapsed is how long a settlement is retried. By then the keeper has
+	// settled the request itself as an orphan.
+	settleMaxElapsed = time.Hour
 )
 
-// settler brings bills to their keepers and repeats them until they answer.
+// settler sends settlements to keepers and retries them until the keeper answers.
 type settler struct {
 	keepers Keepers
 	logger  *slog.Logger
 
 	mu      sync.Mutex
-	open    int
+	pending int
 	changed chan struct{}
 }
 
@@ -36,51 +36,51 @@
 	return &settler{keepers: keepers, logger: logger, changed: make(chan struct{})}
 }
 
-// now settles and waits for the answer until the context ends; after that the
-// bill is brought in the background.
-func (s *settler) now(ctx context.Context, box string, r *betweenv1.SettleRequest) (*betweenv1.SettleResponse, error) {
+// settle sends a settlement and waits for the response. On an error, the end of the
+// context included, it goes on in the background.
+func (s *settler) settle(ctx context.Context, box string, r *betweenv1.SettleRequest) (*betweenv1.SettleResponse, error) {
 	resp, err := s.keepers.Settle(ctx, box, r)
 	if err != nil {
-		s.add(box, r)
+		s.settleInBackground(box, r)
 	}
 	return resp, err
 }
 
-// add settles in the background.
-func (s *settler) add(box string, r *betweenv1.SettleRequest) {
-	s.count(1)
+// settleInBackground sends a settlement without waiting for the response.
+func (s *settler) settleInBackground(box string, r *betweenv1.SettleRequest) {
+	s.addPending(1)
 	go func() {
-		defer s.count(-1)
-		s.repeat(box, r)
+		defer s.addPending(-1)
+		s.retry(box, r)
 	}()
 }
 
-func (s *settler) repeat(box string, r *betweenv1.SettleRequest) {
+func (s *settler) retry(box string, r *betweenv1.SettleRequest) {
 	wait := backoff.NewExponentialBackOff()
-	wait.InitialInterval, wait.MaxInterval = settleFirst, settleMost
+	wait.InitialInterval, wait.MaxInterval = settleMinBackoff, settleMaxBackoff
 	_, err := backoff.Retry(context.Background(), func() (*betweenv1.SettleResponse, error) {
 		ctx, cancel := context.WithTimeout(context.Background(), keeperTimeout)
 		defer cancel()
 		return s.keepers.Settle(ctx, box, r)
-	}, backoff.WithBackOff(wait), backoff.WithMaxElapsedTime(settleLimit))
+	}, backoff.WithBackOff(wait), backoff.WithMaxElapsedTime(settleMaxElapsed))
 	if err != nil {
-		s.logger.Error("a bill could not be brought to its keeper", "keeper", box, "error", err)
+		s.logger.Error("giving up on a settlement that the keeper does not accept", "keeper", box, "error", err)
 	}
 }
 
-func (s *settler) count(delta int) {
+func (s *settler) addPending(delta int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open += delta
+	s.pending += delta
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// wait returns once nothing is open.
+// wait returns nil once no settlement is pending, or the context's error.
 func (s *settler) wait(ctx context.Context) error {
 	for {
 		s.mu.Lock()
-		open, changed := s.open, s.changed
+		open, changed := s.pending, s.changed
 		s.mu.Unlock()
 		if open == 0 {
 			return nil
--- a/services/dispatch/slots.go
+++ b/services/dispatch/slots.go
@@ -18,28 +18,28 @@
 	"havenwinch.dev/havenwinch/structs"
 )
 
-// slot is a place at a target, for one run.
+// slot is the right to send one run to a target.
 type slot struct {
-	target  *target.Target
-	address string
-	prompt  int
-	pool    string
-	work    int
-	begun   time.Duration
-	// scores explain why this target won.
+	target       *target.Target
+	address      string
+	promptTokens int
+	pool         string
+	work         int
+	startedAt    time.Duration
+	// scores are the scores of all candidates, for the timeline.
 	scores []target.Score
 }
 
-// waiting is a request in the queue.
-type waiting struct {
+// queuedRequest is a request that waits for a slot.
+type queuedRequest struct {
 	item  queue.Item
 	need  target.Need
-	given chan *slot
-	// hopeless is closed when the request can't be done in time any more.
-	hopeless chan struct{}
+	slots chan *slot
+	// tooLate is closed when the request can't complete by its deadline any more.
+	tooLate chan struct{}
 }
 
-// limits returns the rolled-out values for a pool.
+// limits returns the limits per target from the rolled-out configuration.
 func (d *Dispatcher) limits(service bool) target.Limits {
 	l := target.Limits{
 		Slots:            d.opts.Config.Value(state.RolloutTargetSlots),
@@ -59,7 +59,7 @@
 	return d.targets.ForModel(need.Model), "model/" + need.Model
 }
 
-// needOf describes a request to the routing decision.
+// needOf returns the input of the routing decision for a request.
 func (d *Dispatcher) needOf(r *Request) target.Need {
 	return target.Need{
 		Model:       r.Model,
@@ -71,13 +71,14 @@
 	}
 }
 
-// precheck refuses, before anything is reserved, what can't be served: no
-// target has the model, the queue is full, or the deadline can't be met.
+// precheck refuses requests that can't be served before any tokens are reserved: the
+// box is drained, the request is quarantined, no target has the model, the queue is
+// full, or the deadline can't be met.
 func (d *Dispatcher) precheck(r *Request) *Refusal {
 	if d.opts.Config.Drained(statev1.Drain_KIND_BOX, d.opts.Name) {
-		return &Refusal{Kind: structs.KindStopping, Run: structs.RunNo, RetryAfter: retryStop, Message: "this box is drained: ask again, another box answers"}
+		return &Refusal{Kind: structs.KindStopping, Run: structs.RunNo, RetryAfter: shortRetryAfter, Message: "this box is drained: ask again, another box answers"}
 	}
-	if refusal := d.heldBack(r); refusal != nil {
+	if refusal := d.checkQuarantine(r); refusal != nil {
 		return refusal
 	}
 	d.mu.Lock()
@@ -85,19 +86,19 @@
 	need := d.needOf(r)
 	candidates, pool := d.poolOf(need)
 	if len(candidates) == 0 {
-		return &Refusal{Kind: structs.KindNoTarget, Run: structs.RunNo, RetryAfter: retryKeeper, Message: "no target has model " + r.Model + " now: ask again after the stated time"}
+		return &Refusal{Kind: structs.KindNoTarget, Run: structs.RunNo, RetryAfter: keeperRetryAfter, Message: "no target has model " + r.Model + " now: ask again after the stated time"}
 	}
 	return d.checkQueue(pool, r)
 }
 
 func (d *Dispatcher) checkQueue(pool string, r *Request) *Refusal {
-	p := d.paceOf(pool)
-	estimate := time.Duration(waitMargin * float64(p.wait(d.queue.Load(pool), r.Interactive())))
+	p := d.statsOf(pool)
+	estimate := time.Duration(waitMargin * float64(p.estimateWait(d.queue.Load(pool), r.Interactive())))
 	left := r.Deadline.Sub(d.opts.Clock.Wall())
 	if left <= 0 {
 		return &Refusal{Kind: structs.KindDeadlinePast, Run: structs.RunNo, Message: "the deadline has passed: send a later one"}
 	}
-	if needed := estimate + time.Duration(hopeMargin*float64(p.runTime(r.MaxTokens))); estimate > 0 && needed > left {
+	if needed := estimate + time.Duration(runTimeMargin*float64(p.estimateRunTime(r.MaxTokens))); estimate > 0 && needed > left {
 		return &Refusal{Kind: structs.KindDeadline, Run: structs.RunNo, RetryAfter: max(needed-left, time.Second),
 			Message: fmt.Sprintf("work for about %s waits before this request, too much for its deadline: ask again after the stated time or allow a later deadline", estimate.Round(time.Millisecond))}
 	}
@@ -110,27 +111,28 @@
 	return nil
 }
 
-// acquire waits for a slot. alive is called now and then while it waits.
+// acquire waits for a slot. Meanwhile it calls alive every AliveInterval with the number
+// of requests ahead, and leaves the queue if alive returns an error.
 func (d *Dispatcher) acquire(ctx context.Context, it queue.Item, need target.Need, alive func(position int) error) (*slot, *Refusal) {
-	w := &waiting{item: it, need: need, given: make(chan *slot, 1), hopeless: make(chan struct{})}
+	w := &queuedRequest{item: it, need: need, slots: make(chan *slot, 1), tooLate: make(chan struct{})}
 	w.item.Payload = w
 	d.mu.Lock()
 	_, pool := d.poolOf(need)
 	w.item.Pool = pool
 	d.queue.Add(&w.item)
-	d.pump(pool)
+	d.assignSlots(pool)
 	d.mu.Unlock()
 	return d.awaitSlot(ctx, w, alive)
 }
 
-func (d *Dispatcher) awaitSlot(ctx context.Context, w *waiting, alive func(position int) error) (*slot, *Refusal) {
+func (d *Dispatcher) awaitSlot(ctx context.Context, w *queuedRequest, alive func(position int) error) (*slot, *Refusal) {
 	ticker := time.NewTicker(d.opts.AliveInterval)
 	defer ticker.Stop()
 	expired := time.NewTimer(w.item.Deadline - d.opts.Clock.Boot())
 	defer expired.Stop()
 	for {
 		select {
-		case s := <-w.given:
+		case s := <-w.slots:
 			return s, nil
 		case <-ticker.C:
 			d.mu.Lock()
@@ -139,29 +141,30 @@
 			if alive(position) != nil {
 				return d.leaveQueue(w, &Refusal{Kind: structs.KindCancelled, Run: structs.RunNo, Message: "the caller left the queue"})
 			}
-		case <-w.hopeless:
-			return nil, tooLate()
+		case <-w.tooLate:
+			return nil, deadlineRefusal()
 		case <-expired.C:
-			return d.leaveQueue(w, tooLate())
+			return d.leaveQueue(w, deadlineRefusal())
 		case <-ctx.Done():
 			if ctx.Err() == context.DeadlineExceeded {
-				return d.leaveQueue(w, tooLate())
+				return d.leaveQueue(w, deadlineRefusal())
 			}
-			return d.leaveQueue(w, &Refusal{Kind: structs.KindStopping, Run: structs.RunNo, RetryAfter: retryStop, Message: "this box was ended: ask again with the same key, another box answers"})
+			return d.leaveQueue(w, &Refusal{Kind: structs.KindStopping, Run: structs.RunNo, RetryAfter: shortRetryAfter, Message: "this box was ended: ask again with the same key, another box answers"})
 		}
 	}
 }
 
-func tooLate() *Refusal {
-	return &Refusal{Kind: structs.KindDeadline, Run: structs.RunNo, RetryAfter: retryKeeper, Message: "no target was free before the deadline: ask again with a later one"}
+func deadlineRefusal() *Refusal {
+	return &Refusal{Kind: structs.KindDeadline, Run: structs.RunNo, RetryAfter: keeperRetryAfter, Message: "no target was free before the deadline: ask again with a later one"}
 }
 
-// leaveQueue gives up waiting; a slot given at the last moment is used.
-func (d *Dispatcher) leaveQueue(w *waiting, refusal *Refusal) (*slot, *Refusal) {
+// leaveQueue removes a request from the queue and returns the refusal. If the request was
+// assigned a slot at the last moment, it returns the slot instead.
+func (d *Dispatcher) leaveQueue(w *queuedRequest, refusal *Refusal) (*slot, *Refusal) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	select {
-	case s := <-w.given:
+	case s := <-w.slots:
 		return s, nil
 	default:
 	}
@@ -169,82 +172,83 @@
 	return nil, refusal
 }
 
-// pump gives free slots of a pool to waiting requests; the caller holds the
-// lock. When the request that is next may not use the free slots because they
-// are kept for interactive ones, an interactive one may go before it.
-func (d *Dispatcher) pump(pool string) {
+// assignSlots assigns the free slots of a pool to queued requests. If the free slots are
+// reserved for interactive requests and the next request is not interactive, an
+// interactive request may overtake it. The caller holds d.mu.
+func (d *Dispatcher) assignSlots(pool string) {
 	for {
 		it := d.queue.Next(pool, false)
 		if it == nil {
 			return
 		}
-		if d.drop(it) || d.give(it) {
+		if d.dropIfTooLate(it) || d.tryAssign(it) {
 			continue
 		}
 		if it.Interactive {
 			return
 		}
 		it = d.queue.Next(pool, true)
-		if it == nil || !(d.drop(it) || d.give(it)) {
+		if it == nil || !(d.dropIfTooLate(it) || d.tryAssign(it)) {
 			return
 		}
 	}
 }
 
-// drop gives a request up that can't be done by its deadline any more, so that
-// it is told at once and takes no place from one that can.
-func (d *Dispatcher) drop(it *queue.Item) bool {
+// dropIfTooLate removes a request from the queue that can't complete by its deadline any
+// more, so that its caller is told at once and it takes no slot from one that can. It
+// reports whether it did.
+func (d *Dispatcher) dropIfTooLate(it *queue.Item) bool {
 	left := it.Deadline - d.opts.Clock.Boot()
-	needed := time.Duration(hopeMargin * float64(d.paceOf(it.Pool).runTime(it.Work)))
+	needed := time.Duration(runTimeMargin * float64(d.statsOf(it.Pool).estimateRunTime(it.Work)))
 	if left >= needed {
 		return false
 	}
 	d.queue.Remove(it)
-	close(it.Payload.(*waiting).hopeless)
+	close(it.Payload.(*queuedRequest).tooLate)
 	return true
 }
 
-// give finds a target for a waiting request.
-func (d *Dispatcher) give(it *queue.Item) bool {
-	w := it.Payload.(*waiting)
+// tryAssign assigns a slot to a queued request. It returns false if no target has one.
+func (d *Dispatcher) tryAssign(it *queue.Item) bool {
+	w := it.Payload.(*queuedRequest)
 	candidates, _ := d.poolOf(w.need)
 	decision := target.Choose(d.opts.Policy, candidates, w.need, d.limits(w.need.Service != ""), d.opts.Clock.Boot(), d.rng)
 	if decision.Target == nil {
 		return false
 	}
-	p := d.paceOf(it.Pool)
+	p := d.statsOf(it.Pool)
 	if d.queue.Load(it.Pool).Batch > 0 {
-		p.picked(!it.Interactive)
+		p.recordPick(!it.Interactive)
 	}
 	p.running++
 	d.queue.Take(it)
 	decision.Target.Begin(w.need.Prompt)
-	w.given <- &slot{target: decision.Target, address: decision.Target.Address, prompt: w.need.Prompt, pool: it.Pool, work: it.Work, begun: d.opts.Clock.Boot(), scores: decision.Scores}
+	w.slots <- &slot{target: decision.Target, address: decision.Target.Address, promptTokens: w.need.Prompt, pool: it.Pool, work: it.Work, startedAt: d.opts.Clock.Boot(), scores: decision.Scores}
 	return true
 }
 
-// release ends the use of a slot. sound tells whether the target did its part.
-func (d *Dispatcher) release(s *slot, sound bool) {
+// release returns a slot. targetOK is false if the target is to blame for a failed run.
+func (d *Dispatcher) release(s *slot, targetOK bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.opts.Clock.Boot()
-	s.target.End(s.prompt)
-	d.retryBudget(s.pool).earn()
-	if sound {
+	s.target.End(s.promptTokens)
+	d.retryBudgetOf(s.pool).deposit()
+	if targetOK {
 		s.target.Health.Succeed()
 	} else {
 		s.target.Health.Fail(now)
 	}
-	p := d.paceOf(s.pool)
+	p := d.statsOf(s.pool)
 	p.running--
-	if sound {
-		p.ran(now-s.begun, s.work)
+	if targetOK {
+		p.recordRun(now-s.startedAt, s.work)
 	}
-	d.pump(s.pool)
+	d.assignSlots(s.pool)
 }
 
-// Refresh takes drains of the configuration over and serves what time has
-// made possible again, as targets whose pause has ended.
+// Refresh applies the drains of the configuration and assigns slots that have become
+// free with time, such as those of targets whose back-off has ended.
 func (d *Dispatcher) Refresh() {
 	drained := map[string]bool{}
 	d.opts.Config.Read(func(st *state.State) {
@@ -260,7 +264,7 @@
 		t.Drained = drained[name]
 	}
 	for _, pool := range d.queue.Pools() {
-		d.pump(pool)
+		d.assignSlots(pool)
 	}
 }
 
@@ -282,32 +286,33 @@
 	d.Refresh()
 }
 
-// Due implements targetlist.Targets: the engines of this data centre in turn.
-func (d *Dispatcher) Due(n int) []targetlist.Question {
+// NextQueries implements targetlist.Targets. It returns the engines of this data centre in turn,
+// up to n at a time.
+func (d *Dispatcher) NextQueries(n int) []targetlist.TargetQuery {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(d.due) == 0 {
+	if len(d.pollQueue) == 0 {
 		for _, t := range state.Sorted(d.targets.Targets) {
 			if t.Kind == target.Engine && t.DataCentre == d.opts.DataCentre {
-				d.due = append(d.due, t.Name)
+				d.pollQueue = append(d.pollQueue, t.Name)
 			}
 		}
 	}
-	var questions []targetlist.Question
-	for len(d.due) > 0 && len(questions) < n {
-		t := d.targets.Targets[d.due[0]]
-		d.due = d.due[1:]
+	var questions []targetlist.TargetQuery
+	for len(d.pollQueue) > 0 && len(questions) < n {
+		t := d.targets.Targets[d.pollQueue[0]]
+		d.pollQueue = d.pollQueue[1:]
 		if t == nil {
 			continue
 		}
 		epoch, sequence := t.Cache.Next()
-		questions = append(questions, targetlist.Question{Name: t.Name, Address: t.Address, Epoch: epoch, Sequence: sequence})
+		questions = append(questions, targetlist.TargetQuery{Name: t.Name, Address: t.Address, Epoch: epoch, Sequence: sequence})
 	}
 	return questions
 }
 
-// TakeReport implements targetlist.Targets.
-func (d *Dispatcher) TakeReport(name string, load engine.Load, cache engine.CacheEvents, err error) {
+// ApplyReport implements targetlist.Targets.
+func (d *Dispatcher) ApplyReport(name string, load engine.Load, cache engine.CacheEvents, err error) {
 	if err != nil {
 		return
 	}
@@ -322,7 +327,7 @@
 	t.Cache.Take(cache.Epoch, targetlist.Events(cache), now)
 }
 
-// Explain returns the scores that a request would get now, for operators.
+// Explain returns the scores that a request for a model would get now, for operators.
 func (d *Dispatcher) Explain(model string) []target.Score {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -331,8 +336,8 @@
 	return target.Choose(d.opts.Policy, candidates, need, d.limits(false), d.opts.Clock.Boot(), d.rng).Scores
 }
 
-// explain puts a decision into a line for the time line, without prompts.
-func explain(scores []target.Score) string {
+// formatScores formats a routing decision for the timeline. It contains no prompts.
+func formatScores(scores []target.Score) string {
 	parts := make([]string, 0, len(scores))
 	for _, s := range scores {
 		if s.Reason != target.Eligible {
--- a/services/engine/engine.go
+++ b/services/engine/engine.go
@@ -1,10 +1,10 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package engine speaks to model engines over their OpenAI-compatible HTTP
-// interface, and to servers of plain services. It never sends a request a
-// second time on its own: each generation has a connection of its own that is
-// dialled for it, used once and closed, and the library's retries are off.
+// Package engine is a client for model engines with an OpenAI-compatible HTTP API, and for
+// servers of plain services. It never retries a request on its own: each generation and
+// each service call uses a new connection, which is closed afterwards, and the retries of
+// the HTTP library are disabled.
 package engine
 
 import (
@@ -23,20 +23,21 @@
 
 const (
 	dialTimeout = time.Second
-	// quietTimeout is how long an engine may send nothing before its first
-	// token, while it queues and prefills, and between tokens.
-	quietTimeout = 2 * time.Minute
-	askTimeout   = 2 * time.Second
+	// streamIdleTimeout is how long an engine may send nothing, before the first token
+	// (while it queues and prefills the request) as well as between tokens.
+	streamIdleTimeout = 2 * time.Minute
+	// queryTimeout bounds short queries, and writing any request.
+	queryTimeout = 2 * time.Second
 	readBuffer   = 4096
-	// maxLine bounds one line of a stream, in bytes.
+	// maxLine is the maximum length of a line of a stream, in bytes.
 	maxLine = 1 << 20
-	// maxServiceBody bounds an answer of a plain service, in bytes.
+	// maxServiceBody is the maximum size of an answer of a plain service, in bytes.
 	maxServiceBody = 64 << 20
 )
 
-// Call is one generation.
+// Call is a request for one generation.
 type Call struct {
-	// ID names the run at the engine.
+	// ID identifies the run at the engine.
 	ID          string
 	Scope       string
 	Interactive bool
@@ -46,52 +47,54 @@
 // Event is one event of a stream.
 type Event struct {
 	Sequence int
-	// Data is the event's JSON; it belongs to the receiver.
+	// Data is the JSON of the event. The receiver may keep it.
 	Data []byte
-	// Tokens is set in the last event before the end.
+	// Usage is set in the last event before the end, nil in the others.
 	Usage  *Usage
 	Finish string
-	// End says that the engine has marked the end of the answer.
+	// End is set for the engine's end-of-stream event, which has no data.
 	End bool
 }
 
-// Usage is what the engine counted.
+// Usage is the number of tokens that the engine counted.
 type Usage struct {
 	PromptTokens     uint64 `json:"prompt_tokens"`
 	CompletionTokens uint64 `json:"completion_tokens"`
 }
 
-// Total is the sum that is billed.
+// Total returns the number of tokens to bill.
 func (u *Usage) Total() uint64 { return u.PromptTokens + u.CompletionTokens }
 
-// Fate is what an engine says of a run by name.
-type Fate struct {
+// RunState is the state of a run as its engine reports it. Known is false if the engine never
+// received the run, or has forgotten it.
+type RunState struct {
 	Known            bool   `json:"known"`
 	Ended            bool   `json:"ended"`
 	PromptTokens     uint64 `json:"prompt_tokens"`
 	CompletionTokens uint64 `json:"completion_tokens"`
 }
 
-// ErrNotSent says that a request certainly did not reach the target.
+// ErrNotSent means that the connection failed before the request was sent, so that the
+// target certainly did not receive it.
 type ErrNotSent struct{ Cause error }
 
 func (e ErrNotSent) Error() string { return "the target can't be reached: " + e.Cause.Error() }
 
-// IsErrNotSent tells whether an error is an ErrNotSent.
+// IsErrNotSent reports whether the cause of an error is an ErrNotSent.
 func IsErrNotSent(err error) bool {
 	_, ok := errors.Cause(err).(ErrNotSent)
 	return ok
 }
 
-// IsErrRefused tells whether an error says that nothing listens at the target's
-// address, as its machine answers.
+// IsErrRefused reports whether the target's machine refused the connection, that is,
+// whether it is up but nothing listens at the address.
 func IsErrRefused(err error) bool {
 	e, ok := errors.Cause(err).(ErrNotSent)
 	return ok && errors.Is(e.Cause, syscall.ECONNREFUSED)
 }
 
-// ErrStatus says that a target answered with a failure. NotRun is true when
-// the engine has said so before running anything.
+// ErrStatus means that a target answered with an error status. NotRun is set if the engine
+// rejected the request before running it.
 type ErrStatus struct {
 	Code   int
 	NotRun bool
@@ -99,33 +102,33 @@
 
 func (e ErrStatus) Error() string { return fmt.Sprintf("the target answered with status %d", e.Code) }
 
-// ErrBroken says that a connection failed after a request may have arrived.
+// ErrBroken means that a connection failed when the target may already have received the
+// request.
 type ErrBroken struct{ Cause error }
 
 func (e ErrBroken) Error() string {
 	return "the connection to the target broke: " + e.Cause.Error()
 }
 
-// ErrCrossed says that a stream held an event of another run.
-type ErrCrossed struct{ Want, Got string }
+// ErrWrongRun means that a stream contained an event of another run.
+type ErrWrongRun struct{ Want, Got string }
 
-func (e ErrCrossed) Error() string {
+func (e ErrWrongRun) Error() string {
 	return fmt.Sprintf("the target sent an event of run %q in the stream of run %q", e.Got, e.Want)
 }
 
-// Client speaks to engines and services.
+// Client calls engines and services.
 type Client struct {
-	// asks is for short questions, which may share connections.
-	asks *fasthttp.Client
+	// queries is for short queries, which may share connections.
+	queries *fasthttp.Client
 }
 
-// New returns a client.
 func New() *Client {
-	return &Client{asks: &fasthttp.Client{
+	return &Client{queries: &fasthttp.Client{
 		MaxIdemponentCallAttempts: 1,
 		RetryIfErr:                neverRetry,
-		ReadTimeout:               askTimeout,
-		WriteTimeout:              askTimeout,
+		ReadTimeout:               queryTimeout,
+		WriteTimeout:              queryTimeout,
 		MaxResponseBodySize:       maxLine,
 		Dial:                      dial,
 		NoDefaultUserAgentHeader:  true,
@@ -136,27 +139,28 @@
 
 func dial(address string) (net.Conn, error) { return net.DialTimeout("tcp", address, dialTimeout) }
 
-// single is one exchange over a connection of its own. It uses the library's
-// codec and none of its clients, which keep connections and a goroutine each.
-type single struct {
-	conn   net.Conn
-	reader *bufio.Reader
-	quiet  time.Duration
+// singleUseConn is a connection for one request. It uses the codec of the HTTP library but
+// none of its clients, since each of these keeps connections and a goroutine.
+type singleUseConn struct {
+	conn        net.Conn
+	reader      *bufio.Reader
+	idleTimeout time.Duration
 }
 
-// newSingle dials; a failure here is certain not to have sent anything.
-func newSingle(ctx context.Context, address string, quiet time.Duration) (*single, error) {
+// newSingleUseConn dials a target. idleTimeout bounds the wait for each read. An error
+// means that nothing was sent.
+func newSingleUseConn(ctx context.Context, address string, idleTimeout time.Duration) (*singleUseConn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, errors.WithStack(ErrNotSent{Cause: err})
 	}
-	return &single{conn: conn, reader: bufio.NewReaderSize(conn, readBuffer), quiet: quiet}, nil
+	return &singleUseConn{conn: conn, reader: bufio.NewReaderSize(conn, readBuffer), idleTimeout: idleTimeout}, nil
 }
 
-// Reach tries a connection to a target.
+// Reach opens a connection to a target and closes it again.
 func (c *Client) Reach(ctx context.Context, address string) error {
-	s, err := newSingle(ctx, address, askTimeout)
+	s, err := newSingleUseConn(ctx, address, queryTimeout)
 	if err != nil {
 		return err
 	}
@@ -164,11 +168,11 @@
 	return nil
 }
 
-// do sends a request once and reads the answer, or its headers when the
-// answer's body is streamed.
-func (s *single) do(req *fasthttp.Request, resp *fasthttp.Response) error {
+// do sends a request once and reads the response, or only its headers if the body is
+// streamed.
+func (s *singleUseConn) do(req *fasthttp.Request, resp *fasthttp.Response) error {
 	req.SetConnectionClose()
-	if err := s.conn.SetWriteDeadline(time.Now().Add(askTimeout)); err != nil {
+	if err := s.conn.SetWriteDeadline(time.Now().Add(queryTimeout)); err != nil {
 		return err
 	}
 	w := bufio.NewWriterSize(s.conn, readBuffer)
@@ -178,28 +182,31 @@
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	s.patience()
+	s.extendReadDeadline()
 	return resp.ReadLimitBody(s.reader, maxServiceBody)
 }
 
-// patience sets how long the next read may take.
-func (s *single) patience() { _ = s.conn.SetReadDeadline(time.Now().Add(s.quiet)) }
+// extendReadDeadline restarts the idle timeout for the next read.
+func (s *singleUseConn) extendReadDeadline() {
+	_ = s.conn.SetReadDeadline(time.Now().Add(s.idleTimeout))
+}
 
-func (s *single) close() { _ = s.conn.Close() }
+func (s *singleUseConn) close() { _ = s.conn.Close() }
 
-// Stream is an answer on its way.
+// Stream is an answer that is being received.
 type Stream struct {
-	id     string
-	single *single
-	resp   *fasthttp.Response
-	lines  *bufio.Reader
-	stop   func() bool
-	last   int
-}
-
-// Generate starts a run and returns its stream. The context's end closes the
-// connection, which an engine that resumes takes for a lost caller; Cancel
-// ends the run.
+	id    string
+	conn  *singleUseConn
+	resp  *fasthttp.Response
+	lines *bufio.Reader
+	stop  func() bool
+	// last is the sequence number of the last event returned.
+	last int
+}
+
+// Generate starts a run and returns its stream. The end of the context closes the
+// connection. An engine that supports resuming treats that as a lost caller and goes on;
+// only Cancel ends the run.
 func (c *Client) Generate(ctx context.Context, address string, call Call) (*Stream, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
@@ -215,7 +222,7 @@
 	return c.open(ctx, address, call.ID, 0, req)
 }
 
-// Resume reads a run's stream again, after the named event.
+// Resume opens the stream of a run again, behind the event with sequence number after.
 func (c *Client) Resume(ctx context.Context, address, id string, after int) (*Stream, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
@@ -225,13 +232,13 @@
 }
 
 func (c *Client) open(ctx context.Context, address, id string, after int, req *fasthttp.Request) (*Stream, error) {
-	s, err := newSingle(ctx, address, quietTimeout)
+	s, err := newSingleUseConn(ctx, address, streamIdleTimeout)
 	if err != nil {
 		return nil, err
 	}
 	stop := context.AfterFunc(ctx, s.close)
-	// Not taken from the library's pool: a reader may still hold it when the
-	// stream is closed from elsewhere.
+	// The response does not come from the library's pool, since a reader may still
+	// use it when the stream is closed by another goroutine.
 	resp := &fasthttp.Response{StreamBody: true}
 	if err := s.do(req, resp); err != nil {
 		stop()
@@ -243,16 +250,16 @@
 		s.close()
 		return nil, errors.WithStack(ErrStatus{Code: code, NotRun: code >= 400 && code < 500})
 	}
-	return &Stream{id: id, single: s, resp: resp, lines: bufio.NewReaderSize(resp.BodyStream(), readBuffer), stop: stop, last: after}, nil
+	return &Stream{id: id, conn: s, resp: resp, lines: bufio.NewReaderSize(resp.BodyStream(), readBuffer), stop: stop, last: after}, nil
 }
 
-// Close ends reading. The connection is closed, never given back.
+// Close closes the connection, which is never reused.
 func (s *Stream) Close() {
 	s.stop()
-	s.single.close()
+	s.conn.close()
 }
 
-// wireChunk is what the adapter reads of an event.
+// wireChunk has the fields of an event that this package reads.
 type wireChunk struct {
 	ID      string `json:"id"`
 	Choices []struct {
@@ -261,11 +268,11 @@
 	Usage *Usage `json:"usage"`
 }
 
-// Next returns the next event. Events that were sent before are skipped; an
-// end without the engine's mark is an ErrBroken.
+// Next returns the next event. It skips events up to the one that the stream was resumed
+// behind. It returns ErrBroken if the stream ends without the end-of-stream event.
 func (s *Stream) Next() (Event, error) {
 	event := Event{Sequence: s.last + 1}
-	s.single.patience()
+	s.conn.extendReadDeadline()
 	for {
 		line, err := s.readLine()
 		if err != nil {
@@ -296,7 +303,7 @@
 		return errors.WithStack(ErrBroken{Cause: err})
 	}
 	if c.ID != s.id {
-		return errors.WithStack(ErrCrossed{Want: s.id, Got: c.ID})
+		return errors.WithStack(ErrWrongRun{Want: s.id, Got: c.ID})
 	}
 	s.last = event.Sequence
 	event.Data = append([]byte(nil), data...)
@@ -340,63 +347,64 @@
 	return string(line), nil
 }
 
-// Cancel ends a run by name; an engine that never got it refuses it from then
-// on.
-func (c *Client) Cancel(ctx context.Context, address, id string) (Fate, error) {
-	var fate Fate
-	err := c.ask(ctx, fasthttp.MethodDelete, "http://"+address+"/v1/streams/"+id, &fate)
-	return fate, err
+// Cancel ends a run by its ID. An engine that has not received the run refuses the ID from
+// then on.
+func (c *Client) Cancel(ctx context.Context, address, id string) (RunState, error) {
+	var state RunState
+	err := c.query(ctx, fasthttp.MethodDelete, "http://"+address+"/v1/streams/"+id, &state)
+	return state, err
 }
 
-// Status asks about a run by name.
-func (c *Client) Status(ctx context.Context, address, id string) (Fate, error) {
-	var fate Fate
-	err := c.ask(ctx, fasthttp.MethodGet, "http://"+address+"/v1/streams/"+id+"/status", &fate)
-	return fate, err
+// Status returns the state of a run by its ID.
+func (c *Client) Status(ctx context.Context, address, id string) (RunState, error) {
+	var state RunState
+	err := c.query(ctx, fasthttp.MethodGet, "http://"+address+"/v1/streams/"+id+"/status", &state)
+	return state, err
 }
 
-// Load is what an engine reports of itself.
+// Load is the load that an engine reports.
 type Load struct {
 	Running      int `json:"running"`
 	Queued       int `json:"queued"`
 	PromptQueued int `json:"prompt_queued"`
 }
 
-// Load asks an engine for its load.
+// Load queries the load of an engine.
 func (c *Client) Load(ctx context.Context, address string) (Load, error) {
 	var load Load
-	err := c.ask(ctx, fasthttp.MethodGet, "http://"+address+"/load", &load)
+	err := c.query(ctx, fasthttp.MethodGet, "http://"+address+"/load", &load)
 	return load, err
 }
 
-// CacheEvents is a page of an engine's cache events.
+// CacheEvents is a page of the cache events of an engine. A new epoch means a new cache.
 type CacheEvents struct {
 	Epoch  string       `json:"epoch"`
 	Events []CacheEvent `json:"events"`
 }
 
-// CacheEvent is one event on the wire.
+// CacheEvent is a cache event as encoded by the engine.
 type CacheEvent struct {
 	Sequence uint64 `json:"seq"`
 	Op       string `json:"op"`
 	Block    string `json:"block"`
 }
 
-// CacheEvents asks an engine for the events after a sequence of an epoch.
+// CacheEvents queries the cache events of an engine that follow a sequence number of an
+// epoch.
 func (c *Client) CacheEvents(ctx context.Context, address, epoch string, after uint64) (CacheEvents, error) {
 	var page CacheEvents
 	url := fmt.Sprintf("http://%s/cache/events?epoch=%s&after=%d", address, epoch, after)
-	err := c.ask(ctx, fasthttp.MethodGet, url, &page)
+	err := c.query(ctx, fasthttp.MethodGet, url, &page)
 	return page, err
 }
 
-func (c *Client) ask(ctx context.Context, method, url string, answer any) error {
+func (c *Client) query(ctx context.Context, method, url string, answer any) error {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	req.Header.SetMethod(method)
 	req.SetRequestURI(url)
-	if err := c.asks.DoDeadline(req, resp, deadlineOf(ctx)); err != nil {
+	if err := c.queries.DoDeadline(req, resp, deadlineOf(ctx)); err != nil {
 		return errors.WithStack(ErrBroken{Cause: err})
 	}
 	if resp.StatusCode() != fasthttp.StatusOK {
--- a/services/engine/orders.go
+++ b/services/engine/orders.go
@@ -14,15 +14,15 @@
 	statev1 "havenwinch.dev/havenwinch/gen/havenwinch/state/v1"
 )
 
-// Orders brings orders to targets by their names. It implements
+// Orders sends orders to targets, which are addressed by name. It implements
 // orders.Targets.
 type Orders struct {
 	Client *Client
-	// Address returns a target's address, empty when it is not listed.
+	// Address returns a target's address, or "" if the target is not listed.
 	Address func(target string) string
 }
 
-// wireOrder is an order on the wire.
+// wireOrder is the JSON encoding of an order.
 type wireOrder struct {
 	Token uint64 `json:"token"`
 	Kind  string `json:"kind"`
@@ -36,7 +36,7 @@
 	return "load"
 }
 
-// Send brings one order to a target.
+// Send sends one order to a target.
 func (o *Orders) Send(ctx context.Context, target string, order *statev1.Order) error {
 	address := o.Address(target)
 	if address == "" {
@@ -49,15 +49,15 @@
 	return o.Client.post(ctx, "http://"+address+"/orders", body)
 }
 
-// InForce reads back which order of a kind a target has carried out, zero for
-// none.
+// InForce returns the token of the order of a kind that a target has carried out last, zero
+// if there is none.
 func (o *Orders) InForce(ctx context.Context, target string, kind statev1.Order_Kind) (uint64, error) {
 	address := o.Address(target)
 	if address == "" {
 		return 0, errors.Errorf("target %s is not listed", target)
 	}
 	var order wireOrder
-	err := o.Client.ask(ctx, fasthttp.MethodGet, "http://"+address+"/orders/"+kindName(kind), &order)
+	err := o.Client.query(ctx, fasthttp.MethodGet, "http://"+address+"/orders/"+kindName(kind), &order)
 	return order.Token, err
 }
 
@@ -68,7 +68,7 @@
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.SetRequestURI(url)
 	req.SetBodyRaw(body)
-	if err := c.asks.DoDeadline(req, resp, deadlineOf(ctx)); err != nil {
+	if err := c.queries.DoDeadline(req, resp, deadlineOf(ctx)); err != nil {
 		return errors.WithStack(ErrBroken{Cause: err})
 	}
 	if resp.StatusCode() >= fasthttp.StatusBadRequest {
@@ -77,9 +77,9 @@
 	return nil
 }
 
-// deadlineOf returns a context's deadline, at most askTimeout from now.
+// deadlineOf returns the deadline of a context, but at most queryTimeout from now.
 func deadlineOf(ctx context.Context) time.Time {
-	deadline := time.Now().Add(askTimeout)
+	deadline := time.Now().Add(queryTimeout)
 	if d, ok := ctx.Deadline(); ok && d.Before(deadline) {
 		return d
 	}
--- a/services/engine/service.go
+++ b/services/engine/service.go
@@ -11,10 +11,10 @@
 	"github.com/valyala/fasthttp"
 )
 
-// ServiceCall is one call of a plain service.
+// ServiceCall is one call to a plain service.
 type ServiceCall struct {
 	Method string
-	// Path holds the query as well.
+	// Path includes the query.
 	Path        string
 	ContentType string
 	ID          string
@@ -22,16 +22,17 @@
 	Timeout     time.Duration
 }
 
-// ServiceAnswer is a service's whole answer.
+// ServiceAnswer is the complete answer of a plain service.
 type ServiceAnswer struct {
 	Code        int
 	ContentType string
 	Body        []byte
 }
 
-// CallService sends one call, exactly once.
+// CallService sends a call once. It returns ErrNotSent if the service certainly did not
+// receive the call, ErrBroken if it may have.
 func (c *Client) CallService(ctx context.Context, address string, call ServiceCall) (*ServiceAnswer, error) {
-	s, err := newSingle(ctx, address, call.Timeout)
+	s, err := newSingleUseConn(ctx, address, call.Timeout)
 	if err != nil {
 		return nil, err
 	}
--- a/services/targetlist/targetlist.go
+++ b/services/targetlist/targetlist.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package targetlist follows what the platform publishes: the lagging list of
-// targets, their load and their cache events.
+// Package targetlist polls the platform's list of targets, which lags behind the actual
+// state, and the load and cache events that the targets report.
 package targetlist
 
 import (
@@ -25,10 +25,10 @@
 	listInterval = time.Second
 	listTimeout  = 2 * time.Second
 	maxList      = 16 << 20
-	// reportInterval is the time between looks at targets; reportsAtOnce
-	// bounds how many are asked at each.
+	// reportInterval is the time between polls of the targets, reportsPerPoll the maximum
+	// number of targets queried in each.
 	reportInterval = 500 * time.Millisecond
-	reportsAtOnce  = 8
+	reportsPerPoll = 8
 )
 
 // Entry is one target of the list.
@@ -42,46 +42,50 @@
 	State      string   `json:"state"`
 }
 
-// List is the platform's list.
+// List is the platform's list of targets.
 type List struct {
 	Version uint64  `json:"version"`
 	Targets []Entry `json:"targets"`
 }
 
-// Lister reads the list; unchanged says that it is the same as last time.
+// Lister reads the list of targets.
 type Lister interface {
+	// List returns the list. If unchanged is set, the list is the same as at the last
+	// call and list is empty.
 	List(ctx context.Context) (list List, unchanged bool, err error)
 }
 
-// Reporter asks targets about themselves.
+// Reporter queries targets.
 type Reporter interface {
 	Load(ctx context.Context, address string) (engine.Load, error)
 	CacheEvents(ctx context.Context, address, epoch string, after uint64) (engine.CacheEvents, error)
 }
 
-// Targets is the table that is kept up to date.
+// Targets is the table of targets that the poller keeps up to date.
 type Targets interface {
-	// TakeList takes a whole list in.
+	// TakeList replaces the list. Targets that are not in it are removed.
 	TakeList(list []*target.Target)
-	// Due returns the targets to ask next, at most n.
-	Due(n int) []Question
-	// TakeReport takes a target's answers in; err stands for a failed question.
-	TakeReport(name string, load engine.Load, cache engine.CacheEvents, err error)
+	// NextQueries returns the targets to query next, at most n.
+	NextQueries(n int) []TargetQuery
+	// ApplyReport applies the answers of a target. err is set if a query failed.
+	ApplyReport(name string, load engine.Load, cache engine.CacheEvents, err error)
 }
 
-// Question names a target to ask, and where its cache events are known up to.
-type Question struct {
+// TargetQuery is a target to query. Epoch and Sequence are those of the last cache event that
+// is known.
+type TargetQuery struct {
 	Name     string
 	Address  string
 	Epoch    string
 	Sequence uint64
 }
 
-// HTTPLister reads the list over HTTP and asks only for changes.
+// HTTPLister reads the list over HTTP. It uses the ETag so that an unchanged list is not
+// transferred again.
 type HTTPLister struct {
 	URL    string
 	client fasthttp.Client
-	tag    string
+	etag   string
 }
 
 // List implements Lister.
@@ -90,29 +94,29 @@
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	req.SetRequestURI(l.URL + "/targets")
-	if l.tag != "" {
-		req.Header.Set(fasthttp.HeaderIfNoneMatch, l.tag)
+	if l.etag != "" {
+		req.Header.Set(fasthttp.HeaderIfNoneMatch, l.etag)
 	}
 	l.client.MaxResponseBodySize = maxList
 	if err := l.client.DoTimeout(req, resp, listTimeout); err != nil {
-		return List{}, false, errors.Wrap(err, "the platform's list can't be read")
+		return List{}, false, errors.Wrap(err, "fetching the list of targets")
 	}
 	switch resp.StatusCode() {
 	case fasthttp.StatusNotModified:
 		return List{}, true, nil
 	case fasthttp.StatusOK:
 	default:
-		return List{}, false, errors.Errorf("the platform's list answered with status %d", resp.StatusCode())
+		return List{}, false, errors.Errorf("fetching the list of targets: unexpected status %d", resp.StatusCode())
 	}
 	var list List
 	if err := json.Unmarshal(resp.Body(), &list); err != nil {
-		return List{}, false, errors.Wrap(err, "the platform's list can't be parsed")
+		return List{}, false, errors.Wrap(err, "parsing the list of targets")
 	}
-	l.tag = string(resp.Header.Peek(fasthttp.HeaderETag))
+	l.etag = string(resp.Header.Peek(fasthttp.HeaderETag))
 	return list, false, nil
 }
 
-// Poller keeps the table up to date.
+// Poller keeps a table of targets up to date.
 type Poller struct {
 	Lister   Lister
 	Reporter Reporter
@@ -135,12 +139,12 @@
 	wg.Wait()
 }
 
-// PollList reads the list once. Without an answer the last list stays valid:
-// serving what is known beats serving nothing.
+// PollList reads the list once. If that fails the last list stays in use, since serving from
+// an outdated list is better than not serving.
 func (p *Poller) PollList(ctx context.Context) {
 	list, unchanged, err := p.Lister.List(ctx)
 	if err != nil {
-		p.Logger.Warn("keeping the last list of targets", "error", err)
+		p.Logger.Warn("reading the list of targets failed, keeping the last one", "error", err)
 		return
 	}
 	if !unchanged {
@@ -148,7 +152,8 @@
 	}
 }
 
-// Rows turns a list into rows; entries that make no sense are left out.
+// Rows converts a list. It skips entries without a name or an address and those of an unknown
+// kind. A target in an unknown state is taken to be leaving.
 func Rows(list List) []*target.Target {
 	var rows []*target.Target
 	for _, e := range list.Targets {
@@ -165,31 +170,31 @@
 	return rows
 }
 
-// PollReports asks a bounded number of targets.
+// PollReports queries at most reportsPerPoll targets in parallel.
 func (p *Poller) PollReports(ctx context.Context) {
 	var wg sync.WaitGroup
-	for _, q := range p.Targets.Due(reportsAtOnce) {
+	for _, q := range p.Targets.NextQueries(reportsPerPoll) {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			p.ask(ctx, q)
+			p.query(ctx, q)
 		}()
 	}
 	wg.Wait()
 }
 
-func (p *Poller) ask(ctx context.Context, q Question) {
+func (p *Poller) query(ctx context.Context, q TargetQuery) {
 	load, err := p.Reporter.Load(ctx, q.Address)
 	if err != nil {
-		p.Targets.TakeReport(q.Name, load, engine.CacheEvents{}, err)
+		p.Targets.ApplyReport(q.Name, load, engine.CacheEvents{}, err)
 		return
 	}
 	cache, err := p.Reporter.CacheEvents(ctx, q.Address, q.Epoch, q.Sequence)
-	p.Targets.TakeReport(q.Name, load, cache, err)
+	p.Targets.ApplyReport(q.Name, load, cache, err)
 }
 
-// Events turns cache events from their wire form; what can't be read is left
-// out and shows as a gap.
+// Events converts the cache events of an engine. It skips events whose block can't be parsed,
+// which leaves a gap in the sequence numbers.
 func Events(page engine.CacheEvents) []target.CacheEvent {
 	events := make([]target.CacheEvent, 0, len(page.Events))
 	for _, e := range page.Events {
--- a/services/targetlist/targetlist_test.go
+++ b/services/targetlist/targetlist_test.go
@@ -17,7 +17,7 @@
 	"havenwinch.dev/havenwinch/services/targetlist"
 )
 
-// table keeps what it is told.
+// table records the lists that it receives.
 type table struct{ lists [][]string }
 
 func (l *table) TakeList(list []*target.Target) {
@@ -27,13 +27,13 @@
 	}
 	l.lists = append(l.lists, names)
 }
-func (l *table) Due(int) []targetlist.Question                             { return nil }
-func (l *table) TakeReport(string, engine.Load, engine.CacheEvents, error) {}
+func (l *table) NextQueries(int) []targetlist.TargetQuery                   { return nil }
+func (l *table) ApplyReport(string, engine.Load, engine.CacheEvents, error) {}
 
-// TestList reads a sound list, then what is described, and says which lists
-// were taken over. A list that can't be read leaves the last one in force.
+// TestList reads a valid list, then the described response, and checks which lists reach the
+// table. A response that can't be used must not replace the last list.
 func TestList(t *testing.T) {
-	const sound = `{"version":1,"targets":[{"name":"e","address":"127.0.0.1:1","kind":"engine","state":"live"}]}`
+	const valid = `{"version":1,"targets":[{"name":"e","address":"127.0.0.1:1","kind":"engine","state":"live"}]}`
 	tests := map[string]struct {
 		status int
 		body   string
@@ -41,12 +41,12 @@
 	}{
 		"unchanged":           {304, "", nil},
 		"server error":        {500, "broken", nil},
-		"no JSON":             {200, "<html>", nil},
-		"cut short":           {200, sound[:40], nil},
+		"not JSON":            {200, "<html>", nil},
+		"truncated":           {200, valid[:40], nil},
 		"empty":               {200, `{"version":2,"targets":[]}`, []string{}},
 		"leaving":             {200, `{"targets":[{"name":"e","address":"127.0.0.1:1","kind":"engine","state":"leaving"}]}`, []string{"e leaving"}},
-		"a state not known":   {200, `{"targets":[{"name":"e","address":"127.0.0.1:1","kind":"engine","state":"odd"}]}`, []string{"e leaving"}},
-		"a kind not known":    {200, `{"targets":[{"name":"e","address":"127.0.0.1:1","kind":"printer","state":"live"},{"name":"f","address":"127.0.0.1:2","kind":"service","state":"live"}]}`, []string{"f live"}},
+		"unknown state":       {200, `{"targets":[{"name":"e","address":"127.0.0.1:1","kind":"engine","state":"odd"}]}`, []string{"e leaving"}},
+		"unknown kind":        {200, `{"targets":[{"name":"e","address":"127.0.0.1:1","kind":"printer","state":"live"},{"name":"f","address":"127.0.0.1:2","kind":"service","state":"live"}]}`, []string{"f live"}},
 		"no name, no address": {200, `{"targets":[{"address":"127.0.0.1:1","kind":"engine","state":"live"},{"name":"g","kind":"engine","state":"live"}]}`, []string{}},
 	}
 	for name, test := range tests {
@@ -56,7 +56,7 @@
 				reads++
 				if reads == 1 {
 					w.Header().Set("ETag", `"1"`)
-					_, _ = w.Write([]byte(sound))
+					_, _ = w.Write([]byte(valid))
 					return
 				}
 				w.WriteHeader(test.status)
