--- a/services/keeper/keeper.go
+++ b/services/keeper/keeper.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package keeper runs a ledger on a box with a disk: it answers entry boxes
-// once what it says lasts, keeps its allotments in step with demand, and sees
-// to requests whose box has died.
+// Package keeper runs a ledger on a box with a disk. It answers entry boxes only once
+// its answer is durable, adapts its allotments to demand, and settles requests whose box
+// has died.
 package keeper
 
 import (
@@ -25,29 +25,31 @@
 	"havenwinch.dev/havenwinch/services/timeline"
 )
 
-// Control is what a keeper asks of the control boxes.
+// Control is the part of the control service that a keeper calls.
 type Control interface {
 	Register(ctx context.Context, r *betweenv1.RegisterRequest) (*betweenv1.RegisterResponse, error)
 	Sync(ctx context.Context, r *betweenv1.SyncRequest) (*betweenv1.SyncResponse, error)
 }
 
-// Homes reaches other keepers to claim keys that are at home there.
+// Homes calls other keepers to claim keys whose home they are.
 type Homes interface {
 	Claim(ctx context.Context, box string, r *betweenv1.ClaimRequest) (*betweenv1.ClaimResponse, error)
 }
 
-// Recoverer finds out at a target what became of a request whose box died.
+// Recoverer asks a target about a request whose box died.
 type Recoverer interface {
-	// Recover returns the tokens used once the run has ended. With abandon it
-	// ends the run. Absent says that the target certainly never ran it.
+	// Recover returns the state of the run. If abandon is set it ends the run
+	// first.
 	Recover(ctx context.Context, r *statev1.RequestRecord, abandon bool) (Recovery, error)
 }
 
-// Recovery is what a target says of a run.
+// Recovery is the state of a run as its target reports it.
 type Recovery struct {
-	Ended  bool
+	Ended bool
+	// Absent is set if the target certainly never ran the request.
 	Absent bool
-	Used   uint64
+	// Used is the number of tokens used. It is final once Ended is set.
+	Used uint64
 }
 
 // Options configure a Keeper.
@@ -65,14 +67,15 @@
 	Incarnation  func() string
 	Ledger       ledger.Options
 	SyncInterval time.Duration
-	// CompactAfter is the size of the log, in bytes, after which a snapshot is
-	// taken.
+	// CompactAfter is the size of the log in bytes from which on it is replaced
+	// by a snapshot. Zero means 32 MiB.
 	CompactAfter int64
 }
 
 const defaultCompactAfter = 32 << 20
 
-// ErrNotReady says that the ledger is not in force yet.
+// ErrNotReady means that the keeper does not accept requests: its ledger is not
+// registered with control yet, or the keeper is stopping.
 type ErrNotReady struct {
 	Box    string
 	Reason string
@@ -92,12 +95,13 @@
 	holder string
 
 	queues map[string]*waitQueue
-	// stopping is set when free tokens go back to control.
+	// stopping is set once the free tokens are returned to control.
 	stopping bool
-	kick     chan struct{}
+	// syncNow triggers the next report before SyncInterval has passed.
+	syncNow chan struct{}
 }
 
-// New opens the ledger on a disk, or begins one.
+// New opens the ledger on the disk, or creates one if the disk is empty.
 func New(opts Options) (*Keeper, error) {
 	if opts.CompactAfter == 0 {
 		opts.CompactAfter = defaultCompactAfter
@@ -106,13 +110,13 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &Keeper{opts: opts, queues: map[string]*waitQueue{}, kick: make(chan struct{}, 1)}
+	k := &Keeper{opts: opts, queues: map[string]*waitQueue{}, syncNow: make(chan struct{}, 1)}
 	k.ledger = ledger.New(opts.Ledger, opts.Incarnation(), opts.Clock.Wall(), opts.Clock.Boot())
 	if err := k.load(content); err != nil {
 		return nil, err
 	}
 	if content.Snapshot == nil {
-		if err := k.begin(log); err != nil {
+		if err := k.createLog(log); err != nil {
 			return nil, err
 		}
 	}
@@ -120,8 +124,8 @@
 	return k, nil
 }
 
-// begin stores the name of a new ledger before anything is put in it.
-func (k *Keeper) begin(log *wal.Log) error {
+// createLog stores the identity of a new ledger before any record is written.
+func (k *Keeper) createLog(log *wal.Log) error {
 	data, err := proto.Marshal(k.ledger.Snapshot())
 	if err != nil {
 		return errors.WithStack(err)
@@ -148,14 +152,14 @@
 	return nil
 }
 
-// Holder returns the name of the ledger in force, empty before that.
+// Holder returns the name of the ledger, or "" while it is not active.
 func (k *Keeper) Holder() string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.holder
 }
 
-// Err returns why the keeper can't work, nil when it can.
+// Err returns the reason why the keeper can't serve requests, nil if it can.
 func (k *Keeper) Err() error {
 	if err := k.committer.Err(); err != nil {
 		return err
@@ -166,18 +170,18 @@
 	return nil
 }
 
-func (k *Keeper) times() ledger.Times {
+func (k *Keeper) now() ledger.Times {
 	return ledger.Times{Wall: k.opts.Clock.Wall(), Boot: k.opts.Clock.Boot()}
 }
 
-// queue hands records to the log and returns the position to wait for; the
-// caller holds the lock, so the log has the order of the table.
+// queue appends records to the log and returns the position to wait for. The caller
+// holds k.mu, so that the log has the same order as the changes of the ledger.
 func (k *Keeper) queue(records []*statev1.LedgerRecord) uint64 {
 	for _, r := range records {
 		data, err := proto.Marshal(r)
 		if err != nil {
-			// Not reached: records are made of valid UTF-8 only, see Reserve.
-			k.opts.Logger.Error("a ledger record does not encode", "error", err)
+			// Unreachable: records contain only valid UTF-8, see Reserve.
+			k.opts.Logger.Error("encoding a ledger record failed", "error", err)
 			continue
 		}
 		k.committer.Queue(data)
@@ -185,25 +189,25 @@
 	return k.committer.Position()
 }
 
-// step runs a change of the ledger and returns once it lasts. Requests that
-// wait for tokens are served after it, so that the log never holds their
-// reservations without the change that made room for them.
-func (k *Keeper) step(ctx context.Context, change func(now ledger.Times) ledger.Outcome) error {
+// apply applies a change to the ledger and returns once it is durable. Requests that wait
+// for tokens are served after it, so that the log never contains their reservations
+// without the change that freed the tokens.
+func (k *Keeper) apply(ctx context.Context, change func(now ledger.Times) ledger.Outcome) error {
 	if err := k.Err(); err != nil {
 		return err
 	}
 	k.mu.Lock()
-	out := change(k.times())
+	out := change(k.now())
 	position := k.queue(out.Records)
 	k.serve(out.Request.GetBudget())
 	k.mu.Unlock()
 	return k.committer.Wait(ctx, position)
 }
 
-// Start notes where an attempt goes before it is sent.
+// Start records the target of a run before the request is sent to it.
 func (k *Keeper) Start(ctx context.Context, r *betweenv1.StartRequest) (*betweenv1.StartResponse, error) {
 	resp := &betweenv1.StartResponse{}
-	err := k.step(ctx, func(now ledger.Times) ledger.Outcome {
+	err := k.apply(ctx, func(now ledger.Times) ledger.Outcome {
 		opts := ledger.StartOptions{Attempt: r.GetAttempt(), Target: r.GetTarget(), FormerNotRun: r.GetFormerNotRun(), Lost: r.GetLost()}
 		out, ok := k.ledger.Start(r.GetGroup(), r.GetKey(), opts, now)
 		resp.Accepted, resp.Runs = ok, out.Request.GetRuns()
@@ -212,10 +216,10 @@
 	return resp, err
 }
 
-// Settle ends an attempt.
+// Settle bills or releases an attempt.
 func (k *Keeper) Settle(ctx context.Context, r *betweenv1.SettleRequest) (*betweenv1.SettleResponse, error) {
 	resp := &betweenv1.SettleResponse{}
-	err := k.step(ctx, func(now ledger.Times) ledger.Outcome {
+	err := k.apply(ctx, func(now ledger.Times) ledger.Outcome {
 		out := k.settle(r, now)
 		resp.Request = out.Request
 		return out
@@ -231,10 +235,10 @@
 	return k.ledger.Settle(r.GetGroup(), r.GetKey(), bill, now)
 }
 
-// Lookup returns the record of a key.
+// Lookup returns the record of a key, once it is durable.
 func (k *Keeper) Lookup(ctx context.Context, r *betweenv1.LookupRequest) (*betweenv1.LookupResponse, error) {
 	resp := &betweenv1.LookupResponse{}
-	err := k.step(ctx, func(ledger.Times) ledger.Outcome {
+	err := k.apply(ctx, func(ledger.Times) ledger.Outcome {
 		resp.Request = k.ledger.Requests[ledger.RequestKey(r.GetGroup(), r.GetKey())]
 		resp.Found = resp.Request != nil
 		return ledger.Outcome{}
@@ -242,10 +246,11 @@
 	return resp, err
 }
 
-// Claim answers another keeper that ran a key at home here.
+// Claim decides for another keeper, which ran a request whose home is here, which of the
+// two bills it.
 func (k *Keeper) Claim(ctx context.Context, r *betweenv1.ClaimRequest) (*betweenv1.ClaimResponse, error) {
 	resp := &betweenv1.ClaimResponse{}
-	err := k.step(ctx, func(now ledger.Times) ledger.Outcome {
+	err := k.apply(ctx, func(now ledger.Times) ledger.Outcome {
 		granted, by, out := k.ledger.Claim(r.GetRequest(), r.GetHolder(), now)
 		if by == k.ledger.Incarnation {
 			by = k.holder
@@ -256,12 +261,12 @@
 	return resp, err
 }
 
-// Recall gives free tokens back. When requests wait for them here as well, the
-// ledger whose name comes first gets them, so that two ledgers that are both
-// short don't take from each other in turn.
+// Recall returns free tokens to control. If requests wait for tokens here as well, the
+// ledger whose name sorts first gets them, so that two ledgers that are both short don't
+// keep taking tokens from each other.
 func (k *Keeper) Recall(ctx context.Context, r *betweenv1.RecallRequest) (*betweenv1.RecallResponse, error) {
 	resp := &betweenv1.RecallResponse{}
-	err := k.step(ctx, func(now ledger.Times) ledger.Outcome {
+	err := k.apply(ctx, func(now ledger.Times) ledger.Outcome {
 		out := ledger.Outcome{}
 		if k.queues[r.GetBudget()] == nil || r.GetAsker() < k.holder {
 			out.Records = k.ledger.Return(r.GetBudget(), r.GetTokens())
@@ -273,21 +278,21 @@
 	return resp, err
 }
 
-// Beat notes that a box is at work.
+// Beat records a heartbeat of a box.
 func (k *Keeper) Beat(box string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.ledger.Beat(box, k.opts.Clock.Boot())
 }
 
-// Stats is a reading for operators.
+// Stats are the sizes of a ledger.
 type Stats struct {
 	Budgets int
 	Records int
-	Open    int
+	// Open is the number of requests that are not settled yet.
+	Open int
 }
 
-// Stats returns a reading.
 func (k *Keeper) Stats() Stats {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -304,11 +309,11 @@
 	return 0
 }
 
-// Syncs returns how many syncs of the disk took place.
+// Syncs returns the number of disk syncs so far.
 func (k *Keeper) Syncs() uint64 { return k.committer.Syncs() }
 
-// holderOf names the ledger on this disk.
-func (k *Keeper) holderOf() string { return state.Holder(k.opts.Box, k.ledger.Incarnation) }
+// holderName returns the name of the ledger on this disk, whether or not it is active.
+func (k *Keeper) holderName() string { return state.Holder(k.opts.Box, k.ledger.Incarnation) }
 
-// Close stops writing; what was answered lasts.
+// Close stops writing to the log. Whatever was answered is durable.
 func (k *Keeper) Close() error { return k.committer.Close() }
--- a/services/keeper/keeper_test.go
+++ b/services/keeper/keeper_test.go
@@ -26,22 +26,24 @@
 	"havenwinch.dev/havenwinch/services/timeline"
 )
 
-var errCut = errors.New("control can't be reached")
+var errUnreachable = errors.New("control can't be reached")
 
-// control grants a holder all of one budget, less what others hold.
+// control is a control service that allots the whole of every budget to each keeper.
 type control struct {
 	mu      sync.Mutex
 	granted uint64
-	gone    uint64
-	cut     bool
+	// gone is the number of tokens that are spent or lost elsewhere.
+	gone uint64
+	// offline makes control unreachable.
+	offline bool
 	synced  int
 }
 
 func (c *control) Register(_ context.Context, r *betweenv1.RegisterRequest) (*betweenv1.RegisterResponse, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.cut {
-		return nil, errCut
+	if c.offline {
+		return nil, errUnreachable
 	}
 	return &betweenv1.RegisterResponse{Holder: r.GetRegister().GetBox() + "@" + r.GetRegister().GetIncarnation()}, nil
 }
@@ -50,8 +52,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.synced++
-	if c.cut {
-		return nil, errCut
+	if c.offline {
+		return nil, errUnreachable
 	}
 	resp := &betweenv1.SyncResponse{}
 	for _, report := range r.GetSync().GetReports() {
@@ -60,13 +62,13 @@
 	return resp, nil
 }
 
-func (c *control) set(change func()) {
+func (c *control) update(change func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	change()
 }
 
-// targets tells what became of runs.
+// targets is a Recoverer that returns the same recovery for every run.
 type targets struct {
 	found keeper.Recovery
 	err   error
@@ -76,7 +78,7 @@
 	return r.found, r.err
 }
 
-// fixture is a keeper with its surroundings.
+// fixture is a running keeper with its disk, clock, control and targets.
 type fixture struct {
 	t       testing.TB
 	keeper  *keeper.Keeper
@@ -108,9 +110,9 @@
 	return f
 }
 
-func (f *fixture) ready() *fixture {
+func (f *fixture) waitUntilReady() *fixture {
 	f.t.Helper()
-	f.eventually("in force", func() bool { return f.keeper.Err() == nil })
+	f.eventually("the keeper is ready", func() bool { return f.keeper.Err() == nil })
 	return f
 }
 
@@ -119,7 +121,7 @@
 	deadline := time.Now().Add(20 * time.Second)
 	for !met() {
 		if time.Now().After(deadline) {
-			f.t.Fatalf("not met: %s", what)
+			f.t.Fatalf("timed out waiting until %s", what)
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -145,8 +147,8 @@
 	}
 }
 
-// TestWaitingForTokens says how a request ends for which the tokens are short
-// when it arrives. 60 of 100 tokens are reserved by another request.
+// TestWaitingForTokens checks the outcome of a request whose budget is short of tokens when
+// it arrives: another request has reserved 60 of 100 tokens.
 func TestWaitingForTokens(t *testing.T) {
 	const granted, exhausted = betweenv1.ReserveStatus_RESERVE_STATUS_GRANTED, betweenv1.ReserveStatus_RESERVE_STATUS_EXHAUSTED
 	tests := map[string]struct {
@@ -156,18 +158,18 @@
 		want        betweenv1.ReserveStatus
 		unreachable bool
 	}{
-		"the other gives enough back":            {80, time.Minute, func(f *fixture) { f.settle("first", 10) }, granted, false},
-		"the other uses too much":                {80, time.Minute, func(f *fixture) { f.settle("first", 60) }, exhausted, false},
-		"more than the budget ever had":          {200, time.Minute, func(*fixture) {}, exhausted, false},
-		"an operator grants more":                {80, time.Minute, func(f *fixture) { f.control.set(func() { f.control.granted = 300 }) }, granted, false},
-		"its patience ends":                      {80, 50 * time.Millisecond, func(*fixture) {}, exhausted, false},
-		"no patience":                            {80, 0, func(*fixture) {}, exhausted, false},
-		"cut off, the other gives enough back":   {80, time.Minute, func(f *fixture) { f.control.set(func() { f.control.cut = true }); f.settle("first", 10) }, granted, false},
-		"cut off, and more than all tokens here": {200, time.Minute, func(f *fixture) { f.control.set(func() { f.control.cut = true }) }, exhausted, true},
+		"other request returns enough":                      {80, time.Minute, func(f *fixture) { f.settle("first", 10) }, granted, false},
+		"other request uses too much":                       {80, time.Minute, func(f *fixture) { f.settle("first", 60) }, exhausted, false},
+		"more than the whole budget":                        {200, time.Minute, func(*fixture) {}, exhausted, false},
+		"operator grants more":                              {80, time.Minute, func(f *fixture) { f.control.update(func() { f.control.granted = 300 }) }, granted, false},
+		"wait times out":                                    {80, 50 * time.Millisecond, func(*fixture) {}, exhausted, false},
+		"no wait":                                           {80, 0, func(*fixture) {}, exhausted, false},
+		"control unreachable, other request returns enough": {80, time.Minute, func(f *fixture) { f.control.update(func() { f.control.offline = true }); f.settle("first", 10) }, granted, false},
+		"control unreachable, more than all tokens here":    {200, time.Minute, func(f *fixture) { f.control.update(func() { f.control.offline = true }) }, exhausted, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			f := newFixture(t, disktest.New(), &control{granted: 100}).ready()
+			f := newFixture(t, disktest.New(), &control{granted: 100}).waitUntilReady()
 			f.mustReserve("first", 60)
 			if test.unreachable {
 				test.then(f)
@@ -185,66 +187,66 @@
 			}
 			resp := <-done
 			if resp.GetStatus() != test.want || resp.GetUnreachable() != test.unreachable {
-				t.Errorf("got %v, unreachable %v", resp.GetStatus(), resp.GetUnreachable())
+				t.Errorf("got status %v, unreachable %v", resp.GetStatus(), resp.GetUnreachable())
 			}
 			if test.want == exhausted && resp.GetRetryAfter() <= 0 {
-				t.Error("a refusal without a time to come back")
+				t.Error("refusal without RetryAfter")
 			}
 		})
 	}
 }
 
-// TestRestart takes what a crash left on the disk up again.
+// TestRestart checks that a keeper recovers its ledger from the disk after a crash.
 func TestRestart(t *testing.T) {
 	tests := map[string]struct {
-		cut  bool
-		torn int
-	}{"control in reach": {false, 0}, "control cut off": {true, 0}, "torn last record": {false, 7}}
+		offline bool
+		torn    int
+	}{"control reachable": {false, 0}, "control unreachable": {true, 0}, "torn last record": {false, 7}}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			d := disktest.New()
 			c := &control{granted: 100}
-			f := newFixture(t, d, c).ready()
+			f := newFixture(t, d, c).waitUntilReady()
 			f.mustReserve("ended", 30)
 			f.settle("ended", 20)
 			f.mustReserve("open", 40)
 			f.stop()
-			c.set(func() { c.cut = test.cut })
-			again := newFixture(t, d.Crash(test.torn), c).ready()
-			if resp, err := again.reserve("open", 40, 0); err != nil || resp.GetStatus() != betweenv1.ReserveStatus_RESERVE_STATUS_RUNNING {
-				t.Errorf("the open request got %v %v", resp, err)
+			c.update(func() { c.offline = test.offline })
+			restarted := newFixture(t, d.Crash(test.torn), c).waitUntilReady()
+			if resp, err := restarted.reserve("open", 40, 0); err != nil || resp.GetStatus() != betweenv1.ReserveStatus_RESERVE_STATUS_RUNNING {
+				t.Errorf("open request: got %v, %v", resp, err)
 			}
-			if resp, err := again.reserve("ended", 30, 0); err != nil || resp.GetStatus() != betweenv1.ReserveStatus_RESERVE_STATUS_DONE || resp.GetRequest().GetBilled() != 20 {
-				t.Errorf("the ended request got %v %v", resp, err)
+			if resp, err := restarted.reserve("ended", 30, 0); err != nil || resp.GetStatus() != betweenv1.ReserveStatus_RESERVE_STATUS_DONE || resp.GetRequest().GetBilled() != 20 {
+				t.Errorf("ended request: got %v, %v", resp, err)
 			}
-			if resp, err := again.reserve("more", 41, 0); err != nil || resp.GetStatus() != betweenv1.ReserveStatus_RESERVE_STATUS_EXHAUSTED || resp.GetFree() != 40 {
-				t.Errorf("one more request got %v %v", resp, err)
+			if resp, err := restarted.reserve("more", 41, 0); err != nil || resp.GetStatus() != betweenv1.ReserveStatus_RESERVE_STATUS_EXHAUSTED || resp.GetFree() != 40 {
+				t.Errorf("new request: got %v, %v", resp, err)
 			}
 		})
 	}
 }
 
-// TestFullDisk shows that nothing is promised that does not last, and that the
-// keeper says that it has stopped.
+// TestFullDisk checks that no reservation is granted that could not be written to the disk,
+// and that the keeper reports the failure.
 func TestFullDisk(t *testing.T) {
 	d := disktest.New()
-	f := newFixture(t, d, &control{granted: 100}).ready()
+	f := newFixture(t, d, &control{granted: 100}).waitUntilReady()
 	f.mustReserve("first", 10)
 	d.Fail(errors.New("no space left on device"))
 	if resp, err := f.reserve("second", 10, 0); err == nil {
-		t.Errorf("a reservation on a full disk got %v", resp)
+		t.Errorf("reservation on a full disk: got %v, want an error", resp)
 	}
 	if f.keeper.Err() == nil {
-		t.Error("the keeper does not say that it has stopped")
+		t.Error("Err is nil after the disk has failed")
 	}
 	if _, err := f.reserve("third", 10, 0); err == nil {
-		t.Error("a stopped keeper went on")
+		t.Error("reservation succeeded after the disk has failed")
 	}
 }
 
-// TestOrphans ends requests whose box has fallen silent.
+// TestOrphans checks how requests are settled whose box sends no heartbeats any more.
 func TestOrphans(t *testing.T) {
-	lost := errors.New("the target is gone")
+	lost := errors.New("the target can't be reached")
 	tests := map[string]struct {
 		started bool
 		found   keeper.Recovery
@@ -253,18 +255,18 @@
 		state   statev1.RequestState
 		billed  uint64
 	}{
-		"never started":            {false, keeper.Recovery{}, lost, 10 * time.Second, statev1.RequestState_REQUEST_STATE_RELEASED, 0},
-		"target never got it":      {true, keeper.Recovery{Absent: true}, nil, 10 * time.Second, statev1.RequestState_REQUEST_STATE_RELEASED, 0},
-		"ended":                    {true, keeper.Recovery{Ended: true, Used: 25}, nil, 10 * time.Second, statev1.RequestState_REQUEST_STATE_DONE, 25},
-		"still at work":            {true, keeper.Recovery{}, nil, 10 * time.Second, statev1.RequestState_REQUEST_STATE_STARTED, 0},
-		"target lost":              {true, keeper.Recovery{}, lost, 10 * time.Second, statev1.RequestState_REQUEST_STATE_STARTED, 0},
-		"target lost for long":     {true, keeper.Recovery{}, lost, 5 * time.Minute, statev1.RequestState_REQUEST_STATE_DONE, 40},
-		"silent for a moment only": {true, keeper.Recovery{Ended: true, Used: 25}, nil, time.Second, statev1.RequestState_REQUEST_STATE_STARTED, 0},
-		"target reports too much":  {true, keeper.Recovery{Ended: true, Used: 900}, nil, 10 * time.Second, statev1.RequestState_REQUEST_STATE_DONE, 40},
+		"never started":               {false, keeper.Recovery{}, lost, 10 * time.Second, statev1.RequestState_REQUEST_STATE_RELEASED, 0},
+		"target never received it":    {true, keeper.Recovery{Absent: true}, nil, 10 * time.Second, statev1.RequestState_REQUEST_STATE_RELEASED, 0},
+		"ended":                       {true, keeper.Recovery{Ended: true, Used: 25}, nil, 10 * time.Second, statev1.RequestState_REQUEST_STATE_DONE, 25},
+		"still running":               {true, keeper.Recovery{}, nil, 10 * time.Second, statev1.RequestState_REQUEST_STATE_STARTED, 0},
+		"target unreachable":          {true, keeper.Recovery{}, lost, 10 * time.Second, statev1.RequestState_REQUEST_STATE_STARTED, 0},
+		"target unreachable for long": {true, keeper.Recovery{}, lost, 5 * time.Minute, statev1.RequestState_REQUEST_STATE_DONE, 40},
+		"box silent for 1s only":      {true, keeper.Recovery{Ended: true, Used: 25}, nil, time.Second, statev1.RequestState_REQUEST_STATE_STARTED, 0},
+		"target reports too much":     {true, keeper.Recovery{Ended: true, Used: 900}, nil, 10 * time.Second, statev1.RequestState_REQUEST_STATE_DONE, 40},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			f := newFixture(t, disktest.New(), &control{granted: 100}).ready()
+			f := newFixture(t, disktest.New(), &control{granted: 100}).waitUntilReady()
 			f.targets.found, f.targets.err = test.found, test.err
 			f.mustReserve("k", 40)
 			if test.started {
@@ -276,42 +278,42 @@
 			f.keeper.Tick(context.Background())
 			resp, err := f.keeper.Lookup(context.Background(), &betweenv1.LookupRequest{Group: "north/a", Key: "k"})
 			if err != nil || resp.GetRequest().GetState() != test.state || resp.GetRequest().GetBilled() != test.billed {
-				t.Errorf("got %v %v", resp.GetRequest(), err)
+				t.Errorf("got record %v, error %v", resp.GetRequest(), err)
 			}
 		})
 	}
 }
 
-// TestRecallLeavesWhatIsNeeded shows that two ledgers that are both short
-// don't take from each other in turn.
+// TestRecallLeavesWhatIsNeeded checks that two ledgers that are both short of tokens don't
+// keep taking them from each other.
 func TestRecallLeavesWhatIsNeeded(t *testing.T) {
 	tests := map[string]struct {
 		waits bool
 		asker string
 		want  uint64
 	}{
-		"nobody waits here":                {false, "z@1", 40},
-		"one waits, the asker comes after": {true, "z@1", 0},
-		"one waits, the asker comes first": {true, "a@1", 40},
+		"no request waits":             {false, "z@1", 40},
+		"one waits, asker sorts after": {true, "z@1", 0},
+		"one waits, asker sorts first": {true, "a@1", 40},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			f := newFixture(t, disktest.New(), &control{granted: 100}).ready()
+			f := newFixture(t, disktest.New(), &control{granted: 100}).waitUntilReady()
 			f.mustReserve("first", 60)
 			if test.waits {
 				go func() { _, _ = f.reserve("second", 80, time.Minute) }()
-				f.eventually("it waits", func() bool { return f.keeper.Waiting("north/main") == 1 })
+				f.eventually("the request waits", func() bool { return f.keeper.Waiting("north/main") == 1 })
 			}
 			resp, err := f.keeper.Recall(context.Background(), &betweenv1.RecallRequest{Budget: "north/main", Tokens: 500, Asker: test.asker})
 			if err != nil || resp.GetReport().GetReturned() != test.want {
-				t.Errorf("got %v %v, want %d returned", resp, err, test.want)
+				t.Errorf("got %v, %v, want %d returned", resp, err, test.want)
 			}
 		})
 	}
 }
 
-// BenchmarkLedgerOnDisk is a reservation that lasts on a real disk, alone and
-// with many callers that share syncs.
+// BenchmarkLedgerOnDisk measures durable reservations on a real disk, by one caller and by
+// many callers that share syncs.
 func BenchmarkLedgerOnDisk(b *testing.B) {
 	for _, callers := range []int{1, 64} {
 		b.Run(fmt.Sprintf("callers=%d", callers), func(b *testing.B) {
@@ -319,7 +321,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			f := newFixture(b, d, &control{granted: 1 << 50}).ready()
+			f := newFixture(b, d, &control{granted: 1 << 50}).waitUntilReady()
 			f.mustReserve("warm", 1)
 			var mu sync.Mutex
 			n := 0
@@ -350,18 +352,19 @@
 	}
 }
 
-// TestServedWaiterIsWrittenOnce counts the records of a request that waited for
-// its tokens: a second, later one could bring back what was settled meanwhile.
+// TestServedWaiterIsWrittenOnce checks that the reservation of a request that waited for
+// its tokens is written to the log once. A second, later record could restore a reservation
+// that was settled in the meantime.
 func TestServedWaiterIsWrittenOnce(t *testing.T) {
 	d := disktest.New()
-	f := newFixture(t, d, &control{granted: 100}).ready()
+	f := newFixture(t, d, &control{granted: 100}).waitUntilReady()
 	f.mustReserve("first", 60)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		f.mustReserve("second", 80)
 	}()
-	f.eventually("it waits", func() bool { return f.keeper.Waiting("north/main") == 1 })
+	f.eventually("the request waits", func() bool { return f.keeper.Waiting("north/main") == 1 })
 	f.settle("first", 10)
 	<-done
 	_, content, err := wal.Open(d.Crash(0))
@@ -379,6 +382,6 @@
 		}
 	}
 	if written != 1 {
-		t.Errorf("the reservation was written %d times", written)
+		t.Errorf("reservation written %d times, want 1", written)
 	}
 }
--- a/services/keeper/orphans.go
+++ b/services/keeper/orphans.go
@@ -14,29 +14,29 @@
 )
 
 const (
-	// maxOrphans bounds the orphans of one tick.
+	// maxOrphans is the maximum number of orphans handled per tick.
 	maxOrphans = 64
-	// recoverTimeout bounds one question to a target.
+	// recoverTimeout bounds one query to a target.
 	recoverTimeout = 2 * time.Second
-	// lostGrace is how long after its deadline a run that no target tells
-	// about is billed in full.
-	lostGrace = time.Minute
+	// unreachableGrace is how long after its deadline a request whose target can't be
+	// asked is billed in full.
+	unreachableGrace = time.Minute
 )
 
-// AnonymousPrefix starts the keys of requests whose caller gave none; nobody
-// can come back for their answers.
+// AnonymousPrefix is the prefix of keys that are generated for requests without an
+// idempotency key. No caller can return for the answer to such a request.
 const AnonymousPrefix = "anonymous:"
 
-// seeToOrphans ends the requests of boxes that have died, unless a retry takes
-// them over before: what was never sent is released, what was sent is billed
-// by what its target reports.
-func (k *Keeper) seeToOrphans(ctx context.Context) {
+// settleOrphans settles the requests of boxes that have died, unless a retry takes them
+// over first. Requests that were never sent are released. The others are billed as their
+// target reports.
+func (k *Keeper) settleOrphans(ctx context.Context) {
 	k.mu.Lock()
 	orphans := k.ledger.Orphans(k.opts.Clock.Boot(), maxOrphans)
 	k.mu.Unlock()
 	for _, r := range orphans {
 		if r.GetState() == statev1.RequestState_REQUEST_STATE_RESERVED {
-			k.finish(ctx, r, ledger.Bill{NotRun: true}, "its box died before it was sent")
+			k.settleOrphan(ctx, r, ledger.Bill{NotRun: true}, "its box died before it was sent")
 			continue
 		}
 		k.recover(ctx, r)
@@ -50,23 +50,23 @@
 	defer cancel()
 	found, err := k.opts.Recoverer.Recover(ctx, r, abandon)
 	switch {
-	case err != nil && late > lostGrace.Milliseconds():
-		k.finish(context.WithoutCancel(ctx), r, ledger.Bill{Used: r.GetBound(), Uncertain: true}, "its target can't be asked, billed in full")
+	case err != nil && late > unreachableGrace.Milliseconds():
+		k.settleOrphan(context.WithoutCancel(ctx), r, ledger.Bill{Used: r.GetBound(), Uncertain: true}, "its target can't be asked, billed in full")
 	case err != nil:
-		k.opts.Logger.Debug("a target can't be asked about an orphan", "target", r.GetTarget(), "error", err)
+		k.opts.Logger.Debug("querying the target of an orphaned request failed", "target", r.GetTarget(), "error", err)
 	case found.Absent:
-		k.finish(ctx, r, ledger.Bill{NotRun: true}, "its target never got it")
+		k.settleOrphan(ctx, r, ledger.Bill{NotRun: true}, "its target never got it")
 	case found.Ended:
-		k.finish(ctx, r, ledger.Bill{Used: found.Used}, "billed by what its target reports")
+		k.settleOrphan(ctx, r, ledger.Bill{Used: found.Used}, "billed by what its target reports")
 	}
 }
 
-// finish settles an orphan under the attempt that was looked at, so that a
-// retry that has taken over meanwhile is left alone.
-func (k *Keeper) finish(ctx context.Context, r *statev1.RequestRecord, bill ledger.Bill, reason string) {
+// settleOrphan settles the attempt that was examined, so that a retry that has taken over
+// in the meantime is not affected.
+func (k *Keeper) settleOrphan(ctx context.Context, r *statev1.RequestRecord, bill ledger.Bill, reason string) {
 	bill.Attempt = r.GetAttempt()
 	var out ledger.Outcome
-	err := k.step(ctx, func(now ledger.Times) ledger.Outcome {
+	err := k.apply(ctx, func(now ledger.Times) ledger.Outcome {
 		out = k.ledger.Settle(r.GetGroup(), r.GetKey(), bill, now)
 		return out
 	})
--- a/services/keeper/reserve.go
+++ b/services/keeper/reserve.go
@@ -13,29 +13,30 @@
 	"havenwinch.dev/havenwinch/models/ledger"
 )
 
-// retryExhausted is when to ask again after a budget was found spent: an
-// operator has to grant more first.
-const retryExhausted = time.Minute
+// exhaustedRetryAfter is the Retry-After for a spent budget. It is long, since an operator
+// has to grant more tokens first.
+const exhaustedRetryAfter = time.Minute
 
-// retryUnreachable is when to ask again while control can't be reached.
-const retryUnreachable = 5 * time.Second
+// unreachableRetryAfter is the Retry-After while control can't be reached.
+const unreachableRetryAfter = 5 * time.Second
 
 // waiter is a request that waits for tokens.
 type waiter struct {
 	request *statev1.RequestRecord
 	box     string
-	order   uint64
-	index   int
-	done    chan ledger.Outcome
+	arrival uint64
+	// index is the position in the heap, -1 once removed.
+	index int
+	done  chan ledger.Outcome
 }
 
-// waitQueue holds the waiters of one budget, interactive ones first, then by
-// arrival. What control last said of the budget stands beside them.
+// waitQueue is a heap of the waiters of one budget, ordered by priority, then by arrival.
+// It also holds the latest information from control about the budget.
 type waitQueue struct {
-	waiters []*waiter
-	arrived uint64
-	// remaining is what of the whole budget is neither spent nor lost, known
-	// once asked is set; reached tells whether control answered last time.
+	waiters  []*waiter
+	arrivals uint64
+	// remaining is the part of the whole budget that is neither spent nor lost. It
+	// is valid once asked is set. reached is set if control answered the last report.
 	remaining uint64
 	asked     bool
 	reached   bool
@@ -47,7 +48,7 @@
 	if a.request.GetPriority() != b.request.GetPriority() {
 		return a.request.GetPriority() > b.request.GetPriority()
 	}
-	return a.order < b.order
+	return a.arrival < b.arrival
 }
 func (q *waitQueue) Swap(i, j int) {
 	q.waiters[i], q.waiters[j] = q.waiters[j], q.waiters[i]
@@ -69,10 +70,9 @@
 	return last
 }
 
-// Reserve decides whether a request may run. A request whose budget is only
-// short here waits, while control pulls tokens together and other requests
-// give back what they did not use; one that can't be covered any more is
-// refused at once.
+// Reserve decides whether a request may run. If the tokens are short only here, the
+// request waits while control moves tokens here and other requests return what they did
+// not use. A request that the budget can't cover any more is refused at once.
 func (k *Keeper) Reserve(ctx context.Context, r *betweenv1.ReserveRequest) (*betweenv1.ReserveResponse, error) {
 	if err := k.Err(); err != nil {
 		return nil, err
@@ -82,19 +82,19 @@
 		k.mu.Unlock()
 		return nil, ErrNotReady{Box: k.opts.Box, Reason: "stopping"}
 	}
-	out := k.ledger.Reserve(r.GetRequest(), r.GetBox(), k.times())
+	out := k.ledger.Reserve(r.GetRequest(), r.GetBox(), k.now())
 	if out.Status != betweenv1.ReserveStatus_RESERVE_STATUS_EXHAUSTED || r.GetWait() <= 0 {
-		return k.answer(ctx, out)
+		return k.respond(ctx, out)
 	}
 	w := k.enqueue(r)
 	k.mu.Unlock()
-	k.Kick()
+	k.TriggerSync()
 	return k.await(ctx, w, time.Duration(r.GetWait())*time.Millisecond)
 }
 
-// answer returns an outcome once it lasts; the caller holds the lock, which is
-// released here.
-func (k *Keeper) answer(ctx context.Context, out ledger.Outcome) (*betweenv1.ReserveResponse, error) {
+// respond returns the response to an outcome once the outcome is durable. The caller
+// holds k.mu, which respond releases.
+func (k *Keeper) respond(ctx context.Context, out ledger.Outcome) (*betweenv1.ReserveResponse, error) {
 	position := k.queue(out.Records)
 	k.mu.Unlock()
 	if err := k.committer.Wait(ctx, position); err != nil {
@@ -102,9 +102,9 @@
 	}
 	switch out.Status {
 	case betweenv1.ReserveStatus_RESERVE_STATUS_EXHAUSTED:
-		return exhausted(out.Request, out.Free, true), nil
+		return exhaustedResponse(out.Request, out.Free, true), nil
 	case betweenv1.ReserveStatus_RESERVE_STATUS_UNSPECIFIED:
-		return exhausted(out.Request, out.Free, false), nil
+		return exhaustedResponse(out.Request, out.Free, false), nil
 	}
 	return &betweenv1.ReserveResponse{Status: out.Status, Request: out.Request, Free: out.Free}, nil
 }
@@ -116,16 +116,17 @@
 		q = &waitQueue{}
 		k.queues[budget] = q
 	}
-	q.arrived++
-	w := &waiter{request: r.GetRequest(), box: r.GetBox(), order: q.arrived, done: make(chan ledger.Outcome, 1)}
+	q.arrivals++
+	w := &waiter{request: r.GetRequest(), box: r.GetBox(), arrival: q.arrivals, done: make(chan ledger.Outcome, 1)}
 	heap.Push(q, w)
 	k.ledger.Waiting(w.request.GetGroup(), 1)
-	k.want(budget)
+	k.updateDemand(budget)
 	return w
 }
 
-// want tells control, with the next report, what the waiters lack.
-func (k *Keeper) want(budget string) {
+// updateDemand sets the number of tokens that the waiters lack, which the next report
+// passes to control. It drops the queue if it is empty. The caller holds k.mu.
+func (k *Keeper) updateDemand(budget string) {
 	need := uint64(0)
 	q := k.queues[budget]
 	for _, w := range q.waiters {
@@ -143,19 +144,20 @@
 	select {
 	case out := <-w.done:
 		k.mu.Lock()
-		return k.answer(ctx, out)
+		return k.respond(ctx, out)
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	return k.giveUp(context.WithoutCancel(ctx), w)
+	return k.stopWaiting(context.WithoutCancel(ctx), w)
 }
 
-// giveUp ends a wait. A reservation made at the last moment still counts.
-func (k *Keeper) giveUp(ctx context.Context, w *waiter) (*betweenv1.ReserveResponse, error) {
+// stopWaiting removes a waiter from its queue and refuses its request. A reservation that
+// was made at the last moment is returned instead.
+func (k *Keeper) stopWaiting(ctx context.Context, w *waiter) (*betweenv1.ReserveResponse, error) {
 	k.mu.Lock()
 	select {
 	case out := <-w.done:
-		return k.answer(ctx, out)
+		return k.respond(ctx, out)
 	default:
 	}
 	reached := true
@@ -163,17 +165,17 @@
 		reached = q.reached
 		heap.Remove(q, w.index)
 		k.ledger.Waiting(w.request.GetGroup(), -1)
-		k.want(w.request.GetBudget())
+		k.updateDemand(w.request.GetBudget())
 	}
 	free := k.ledger.Budget(w.request.GetBudget()).Free()
 	k.mu.Unlock()
-	return exhausted(w.request, free, reached), nil
+	return exhaustedResponse(w.request, free, reached), nil
 }
 
-func exhausted(r *statev1.RequestRecord, free uint64, reached bool) *betweenv1.ReserveResponse {
-	retry := retryExhausted
+func exhaustedResponse(r *statev1.RequestRecord, free uint64, reached bool) *betweenv1.ReserveResponse {
+	retry := exhaustedRetryAfter
 	if !reached {
-		retry = retryUnreachable
+		retry = unreachableRetryAfter
 	}
 	return &betweenv1.ReserveResponse{
 		Status:      betweenv1.ReserveStatus_RESERVE_STATUS_EXHAUSTED,
@@ -184,56 +186,57 @@
 	}
 }
 
-// serveAll lets waiters run whose budget has tokens again; the caller holds
-// the lock.
+// serveAll serves the waiters of all budgets. The caller holds k.mu.
 func (k *Keeper) serveAll() {
 	for budget := range k.queues {
 		k.serve(budget)
 	}
 }
 
+// serve answers the waiters of a budget that can be answered now. The caller holds k.mu.
 func (k *Keeper) serve(budget string) {
 	q := k.queues[budget]
 	if q == nil {
 		return
 	}
-	var kept []*waiter
+	var remaining []*waiter
 	served := false
 	for q.Len() > 0 {
 		w := heap.Pop(q).(*waiter)
 		if !k.tryServe(w, q) {
-			kept = append(kept, w)
+			remaining = append(remaining, w)
 			continue
 		}
 		served = true
 	}
-	for _, w := range kept {
+	for _, w := range remaining {
 		heap.Push(q, w)
 	}
 	if served || q.Len() == 0 {
-		k.want(budget)
+		k.updateDemand(budget)
 	}
 }
 
-// tryServe answers a waiter that can be reserved for now, or that can't any
-// more; it returns false while there is hope.
+// tryServe answers a waiter if its tokens can be reserved now, or can't be reserved any
+// more. It returns false if the waiter has to go on waiting.
 func (k *Keeper) tryServe(w *waiter, q *waitQueue) bool {
-	if k.ledger.Budget(w.request.GetBudget()).Free() < w.request.GetBound() && !k.hopeless(w, q) {
+	if k.ledger.Budget(w.request.GetBudget()).Free() < w.request.GetBound() && !k.isUncoverable(w, q) {
 		return false
 	}
-	out := k.ledger.Reserve(w.request, w.box, k.times())
+	out := k.ledger.Reserve(w.request, w.box, k.now())
 	k.queue(out.Records)
-	// They are queued for the log; the waiter only waits until they last.
+	// The records are already queued for the log. The waiter only waits until they
+	// are durable.
 	out.Records = nil
 	k.ledger.Waiting(w.request.GetGroup(), -1)
 	w.done <- out
 	return true
 }
 
-// dropUnreachable answers waiters while control can't be reached, when not even
-// all tokens that are reserved here could cover them; the caller holds the
-// lock.
-func (k *Keeper) dropUnreachable(budget string) {
+// refuseUncovered refuses waiters while control can't be reached. It refuses those that
+// could not be covered even if all tokens reserved here were returned. The caller holds
+// k.mu.
+func (k *Keeper) refuseUncovered(budget string) {
 	q := k.queues[budget]
 	if q == nil {
 		return
@@ -249,11 +252,11 @@
 		k.ledger.Waiting(w.request.GetGroup(), -1)
 		w.done <- ledger.Outcome{Request: w.request, Free: b.Free()}
 	}
-	k.want(budget)
+	k.updateDemand(budget)
 }
 
-// hopeless tells whether the budget as a whole can't cover a waiter: what is
-// neither spent nor lost is less than its bound.
-func (k *Keeper) hopeless(w *waiter, q *waitQueue) bool {
+// isUncoverable reports whether a waiter can't be served any more: the keeper is stopping,
+// or what is left of the whole budget is less than the request's bound.
+func (k *Keeper) isUncoverable(w *waiter, q *waitQueue) bool {
 	return k.stopping || q.asked && q.remaining < w.request.GetBound()
 }
--- a/services/keeper/sync.go
+++ b/services/keeper/sync.go
@@ -19,30 +19,30 @@
 )
 
 const (
-	// maxReports bounds the rows of one report.
+	// maxReports is the maximum number of rows in one report.
 	maxReports = 2048
-	// syncTimeout bounds one exchange with control.
+	// syncTimeout bounds one call to control.
 	syncTimeout = 3 * time.Second
-	// urgentPause is the time between reports while requests wait for tokens.
-	urgentPause = 20 * time.Millisecond
+	// urgentInterval is the time between reports while requests wait for tokens.
+	urgentInterval = 20 * time.Millisecond
 
-	retryFirst = 50 * time.Millisecond
-	retryMost  = 2 * time.Second
+	registerMinBackoff = 50 * time.Millisecond
+	registerMaxBackoff = 2 * time.Second
 )
 
-// Kick makes the next report due at once.
-func (k *Keeper) Kick() {
+// TriggerSync triggers the next report immediately.
+func (k *Keeper) TriggerSync() {
 	select {
-	case k.kick <- struct{}{}:
+	case k.syncNow <- struct{}{}:
 	default:
 	}
 }
 
-// tickInterval is the time between looks at what is due.
+// tickInterval is the time between calls of Tick.
 const tickInterval = time.Second
 
-// Run registers the ledger, reports, and does what is due until the context
-// ends.
+// Run registers the ledger, then reports to control and calls Tick periodically until the
+// context ends. It returns an error if control refuses the ledger for good.
 func (k *Keeper) Run(ctx context.Context) error {
 	go periodic.Run(ctx, tickInterval, k.Tick)
 	if err := k.register(ctx); err != nil {
@@ -51,38 +51,38 @@
 	for ctx.Err() == nil {
 		pause := k.opts.SyncInterval
 		if k.Sync(ctx) {
-			pause = urgentPause
+			pause = urgentInterval
 		}
-		k.pause(ctx, pause)
+		k.waitForSync(ctx, pause)
 	}
 	return nil
 }
 
-// pause waits for a kick or the next turn; kicks are gathered for a moment so
-// that many waiting requests share one report.
-func (k *Keeper) pause(ctx context.Context, d time.Duration) {
+// waitForSync waits until TriggerSync was called, d has passed or the context ends. Calls of
+// TriggerSync before the wait are combined, so that many waiting requests share one report.
+func (k *Keeper) waitForSync(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-k.kick:
+	case <-k.syncNow:
 	case <-timer.C:
 	}
 }
 
-// register repeats until control has answered; a ledger that was declared lost
-// is never served. A ledger that has allotments serves meanwhile, see
+// register retries until control has answered. A ledger that was declared lost is never
+// served. A ledger that was registered before serves in the meantime, see
 // serveUnregistered.
 func (k *Keeper) register(ctx context.Context) error {
 	wait := backoff.NewExponentialBackOff()
-	wait.InitialInterval, wait.MaxInterval = retryFirst, retryMost
+	wait.InitialInterval, wait.MaxInterval = registerMinBackoff, registerMaxBackoff
 	for {
 		err := k.registerOnce(ctx)
 		if err == nil || connect.CodeOf(err) == connect.CodeInvalidArgument {
 			return err
 		}
 		k.serveUnregistered()
-		k.opts.Logger.Info("control has not registered this keeper yet", "error", err)
+		k.opts.Logger.Info("registering with control failed, will retry", "error", err)
 		select {
 		case <-ctx.Done():
 			return nil
@@ -103,25 +103,25 @@
 	if err != nil {
 		return err
 	}
-	return k.enforce(resp)
+	return k.activate(resp)
 }
 
-// serveUnregistered lets a ledger work that was in force before, so that a
-// restart while control is cut off does not silence the data centre. What it
-// was allotted is its own until control has recorded another ledger for the
-// box, and that one starts without it.
+// serveUnregistered activates a ledger that was registered before, so that a restart while
+// control is unreachable does not take the data centre out of service. This is safe: the
+// ledger keeps its allotments until control has recorded another ledger for the box, and
+// that one starts without them.
 func (k *Keeper) serveUnregistered() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.holder != "" || !k.ledger.Registered {
 		return
 	}
-	k.holder = k.holderOf()
+	k.holder = k.holderName()
 	k.opts.Recorder.Record("keeper serves while control is cut off", "", k.holder)
 }
 
-// enforce notes for good that control has brought the ledger into force.
-func (k *Keeper) enforce(resp *betweenv1.RegisterResponse) error {
+// activate stores durably that control has registered the ledger, and activates it.
+func (k *Keeper) activate(resp *betweenv1.RegisterResponse) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if !k.ledger.Registered {
@@ -136,7 +136,7 @@
 	return nil
 }
 
-// snapshot replaces the log by the ledger as it is; the caller holds the lock.
+// snapshot replaces the log by a snapshot of the ledger. The caller holds k.mu.
 func (k *Keeper) snapshot() error {
 	data, err := proto.Marshal(k.ledger.Snapshot())
 	if err != nil {
@@ -145,24 +145,24 @@
 	return k.committer.Compact(data)
 }
 
-// Sync reports what has changed and takes the allotments in. It returns true
-// when requests wait for tokens that may still come.
+// Sync reports changes to control and applies the allotments in its response. It returns
+// true if requests still wait for tokens that control may allot.
 func (k *Keeper) Sync(ctx context.Context) bool {
-	// A report without rows is a sign of life, and fetches tokens that control
-	// has granted unasked.
+	// A report without rows still serves as a heartbeat, and fetches tokens that
+	// control has allotted without a request.
 	reports, usages := k.reports()
 	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
-	resp, err := k.exchange(ctx, reports, usages)
+	resp, err := k.sendReport(ctx, reports, usages)
 	if err != nil {
-		k.opts.Logger.Debug("a report got no answer", "error", err)
+		k.opts.Logger.Debug("reporting to control failed", "error", err)
 		k.mu.Lock()
 		k.ledger.MarkDirty(reports, usages)
-		k.unreached(reports)
+		k.refuseAllUncovered(reports)
 		k.mu.Unlock()
 		return false
 	}
-	k.takeRows(resp)
+	k.applyAllotments(resp)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return len(k.queues) > 0
@@ -177,8 +177,8 @@
 	return k.ledger.Reports(maxReports, k.opts.Clock.Boot())
 }
 
-// exchange reports only what lasts.
-func (k *Keeper) exchange(ctx context.Context, reports []*statev1.BudgetReport, usages []*statev1.GroupUsage) (*betweenv1.SyncResponse, error) {
+// sendReport sends a report once everything that it reports is durable.
+func (k *Keeper) sendReport(ctx context.Context, reports []*statev1.BudgetReport, usages []*statev1.GroupUsage) (*betweenv1.SyncResponse, error) {
 	if err := k.committer.Wait(ctx, k.committer.Position()); err != nil {
 		return nil, err
 	}
@@ -191,13 +191,13 @@
 	return k.stopping
 }
 
-func (k *Keeper) unreached(reports []*statev1.BudgetReport) {
+func (k *Keeper) refuseAllUncovered(reports []*statev1.BudgetReport) {
 	for _, r := range reports {
-		k.dropUnreachable(r.GetBudget())
+		k.refuseUncovered(r.GetBudget())
 	}
 }
 
-func (k *Keeper) takeRows(resp *betweenv1.SyncResponse) {
+func (k *Keeper) applyAllotments(resp *betweenv1.SyncResponse) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, row := range resp.GetRows() {
@@ -210,17 +210,17 @@
 	}
 }
 
-// Tick does what time makes due: old records leave, the log is compacted,
-// orphans are seen to and keys claimed at their homes.
+// Tick does the periodic work: it removes expired records, compacts the log, settles
+// orphans and claims keys at their homes.
 func (k *Keeper) Tick(ctx context.Context) {
 	if k.Err() != nil {
 		return
 	}
 	k.mu.Lock()
-	k.queue(k.ledger.Expire(k.times()))
+	k.queue(k.ledger.Expire(k.now()))
 	k.mu.Unlock()
 	k.compact()
-	k.seeToOrphans(ctx)
+	k.settleOrphans(ctx)
 	k.claimPending(ctx)
 }
 
@@ -231,12 +231,12 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if err := k.snapshot(); err != nil {
-		k.opts.Logger.Error("the ledger can't be compacted", "error", err)
+		k.opts.Logger.Error("compacting the ledger failed", "error", err)
 	}
 }
 
-// Stop hands free tokens back to control. Reservations of other boxes stay,
-// and are settled when the box is back.
+// Stop returns the free tokens to control. Reservations of other boxes stay, and are
+// settled once this box is running again.
 func (k *Keeper) Stop(ctx context.Context) {
 	k.mu.Lock()
 	k.stopping = true
@@ -248,7 +248,8 @@
 	k.Sync(ctx)
 }
 
-// claimPending asks the homes of keys that ran here while they were cut off.
+// claimPending sends claims for keys that ran here while their home keeper was
+// unreachable.
 func (k *Keeper) claimPending(ctx context.Context) {
 	k.mu.Lock()
 	pending := k.ledger.Pending(maxClaims)
@@ -268,13 +269,13 @@
 	if err != nil {
 		return
 	}
-	_ = k.step(ctx, func(now ledger.Times) ledger.Outcome {
+	_ = k.apply(ctx, func(now ledger.Times) ledger.Outcome {
 		return k.ledger.Claimed(r.GetGroup(), r.GetKey(), resp.GetGranted(), resp.GetClaimedBy(), now)
 	})
 	k.opts.Recorder.Record("claimed at home", r.GetKey(), claimDetail(r, resp))
 }
 
-// maxClaims bounds the claims of one tick.
+// maxClaims is the maximum number of claims per tick.
 const maxClaims = 64
 
 func claimDetail(r *statev1.RequestRecord, resp *betweenv1.ClaimResponse) string {
