--- a/services/orders/orders.go
+++ b/services/orders/orders.go
@@ -1,15 +1,15 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package orders brings operators' orders to targets: to load a model's
-// weights, or to change role. Each carries a fencing token that rises with
-// every order over all leaders.
+// Package orders delivers operators' orders to targets: to load a model's weights, or to
+// change role. Each order carries a fencing token, which increases with every order
+// across all leaders.
 //
-// Only the leading control box sends, and only while its lease outlasts the
-// longest time that sending can take, so a box that is frozen or cut off stops
-// on its own before a successor can start. A target that checks tokens turns
-// away what a frozen box may still have on its way; for one that does not, the
-// successor reads the order in force back and puts it right.
+// Only the leader of the control boxes sends orders, and only while its lease lasts longer
+// than SendTimeout. So a leader that is paused or partitioned stops sending before its
+// successor can start. A target that checks tokens rejects a delayed order of a former
+// leader. For a target that does not, the new leader reads back the order in force and
+// sends the current one again.
 package orders
 
 import (
@@ -27,33 +27,36 @@
 )
 
 const (
-	// SendTimeout is the longest that sending one order can take. It lies well
-	// under the shortest lease.
+	// SendTimeout is the maximum time to send one order. It is well below the shortest
+	// lease.
 	SendTimeout = 200 * time.Millisecond
-	// tickInterval is the time between looks at the orders that are due.
+	// tickInterval is the time between calls of Tick.
 	tickInterval = 250 * time.Millisecond
-	// retryAfter is the time between tries of one order.
-	retryAfter = 2 * time.Second
-	// verifyEvery is the time between looks at an order that was carried out.
-	verifyEvery = 30 * time.Second
-	// loadsPerSecond keeps the fleet within the weight store's limit: only the
-	// leader orders loads, so one limiter bounds all.
+	// retryInterval is the time between attempts to send one order.
+	retryInterval = 2 * time.Second
+	// verifyInterval is the time between checks of an order that is in force.
+	verifyInterval = 30 * time.Second
+	// loadsPerSecond is the rate limit of the weight store. As only the leader orders
+	// loads, one limiter is enough for the whole fleet.
 	loadsPerSecond = 1
 )
 
-// Lease tells until when, on the boot clock, this box alone leads.
+// Lease is the leader lease of this box.
 type Lease interface {
+	// Lease returns the boot time until which this box is the only leader.
 	Lease() time.Duration
 }
 
-// States is the replicated state.
+// States gives read access to the replicated state.
 type States interface {
 	Read(look func(st *state.State))
 }
 
-// Targets sends orders and reads back which one is in force.
+// Targets sends orders to targets.
 type Targets interface {
 	Send(ctx context.Context, target string, o *statev1.Order) error
+	// InForce returns the token of the order of a kind that the target has carried
+	// out last, zero if there is none.
 	InForce(ctx context.Context, target string, kind statev1.Order_Kind) (token uint64, err error)
 }
 
@@ -67,59 +70,60 @@
 	Logger   *slog.Logger
 }
 
-// Sender is the leader's work on orders.
+// Sender sends and verifies orders while this box is the leader.
 type Sender struct {
 	opts  Options
 	loads *rate.Limiter
-	// due holds when an order, by key and token, is looked at next.
-	due map[string]progress
-	// leading is the boot time since when this box leads, zero when it does not.
+	// due holds the next check of each order, by state.OrderKey.
+	due map[string]nextCheck
+	// leading is the boot time at which this box became the leader, zero if it is not.
 	leading time.Duration
 }
 
-type progress struct {
+// nextCheck is the next check of the order with a token; at is a boot time.
+type nextCheck struct {
 	token uint64
 	at    time.Duration
 }
 
-// New returns a sender.
 func New(opts Options) *Sender {
-	return &Sender{opts: opts, loads: rate.NewLimiter(loadsPerSecond, 1), due: map[string]progress{}}
+	return &Sender{opts: opts, loads: rate.NewLimiter(loadsPerSecond, 1), due: map[string]nextCheck{}}
 }
 
-// Run works until the context ends.
+// Run calls Tick periodically until the context ends.
 func (s *Sender) Run(ctx context.Context) { periodic.Run(ctx, tickInterval, s.Tick) }
 
-// Tick sends and verifies the orders that are due.
+// Tick sends and verifies the orders that are due. It does nothing while this box is not
+// the leader.
 func (s *Sender) Tick(ctx context.Context) {
 	now := s.opts.Clock.Boot()
-	if !s.mayAct(now) {
+	if !s.canSend(now) {
 		s.leading = 0
 		return
 	}
 	if s.leading == 0 {
-		// A new leader waits a while of the weight store's limit, since the one
-		// before may have used it just now.
+		// A new leader starts with an empty limiter, since the former one may have
+		// used up the weight store's limit just now.
 		s.leading = now
-		s.due = map[string]progress{}
+		s.due = map[string]nextCheck{}
 		s.loads.AllowN(s.opts.Clock.Wall(), 1)
 	}
-	for _, o := range s.orders() {
-		if !s.mayAct(s.opts.Clock.Boot()) {
+	for _, o := range s.dueOrders() {
+		if !s.canSend(s.opts.Clock.Boot()) {
 			return
 		}
-		s.work(ctx, o, now)
+		s.process(ctx, o, now)
 	}
 }
 
-// mayAct tells whether the lease outlasts one sending.
-func (s *Sender) mayAct(now time.Duration) bool {
+// canSend reports whether the lease lasts long enough to send one order.
+func (s *Sender) canSend(now time.Duration) bool {
 	return s.opts.Lease.Lease()-now > SendTimeout
 }
 
-// orders returns the orders that are due. Orders are few: one for each target
-// and kind that an operator has named.
-func (s *Sender) orders() []*statev1.Order {
+// dueOrders returns the orders that are due. There are few orders, since there is at most
+// one for each target and kind, and only if an operator has given it.
+func (s *Sender) dueOrders() []*statev1.Order {
 	var list []*statev1.Order
 	now := s.opts.Clock.Boot()
 	s.opts.States.Read(func(st *state.State) {
@@ -133,33 +137,33 @@
 	return list
 }
 
-// work reads the order in force back, and sends the wanted one when it is
-// another.
-func (s *Sender) work(ctx context.Context, o *statev1.Order, now time.Duration) {
+// process reads back the order in force and sends o if it is a different one.
+func (s *Sender) process(ctx context.Context, o *statev1.Order, now time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, SendTimeout)
 	defer cancel()
 	key := state.OrderKey(o)
 	token, err := s.opts.Targets.InForce(ctx, o.GetTarget(), o.GetKind())
 	if err == nil && token == o.GetToken() {
-		s.due[key] = progress{token: o.GetToken(), at: now + verifyEvery}
+		s.due[key] = nextCheck{token: o.GetToken(), at: now + verifyInterval}
 		return
 	}
-	if err == nil && !s.allowed(o) {
-		// The limit is used up: it stays due.
+	if err == nil && !s.takeRateLimit(o) {
+		// The rate limit is used up, so the order stays due.
 		return
 	}
-	s.due[key] = progress{token: o.GetToken(), at: now + retryAfter}
-	if err != nil || !s.mayAct(s.opts.Clock.Boot()) {
+	s.due[key] = nextCheck{token: o.GetToken(), at: now + retryInterval}
+	if err != nil || !s.canSend(s.opts.Clock.Boot()) {
 		return
 	}
 	if err := s.opts.Targets.Send(ctx, o.GetTarget(), o); err != nil {
-		s.opts.Logger.Warn("an order was not taken", "target", o.GetTarget(), "token", o.GetToken(), "error", err)
+		s.opts.Logger.Warn("sending an order to a target failed", "target", o.GetTarget(), "token", o.GetToken(), "error", err)
 		return
 	}
 	s.opts.Recorder.Record("order sent", "", o.GetTarget()+" "+o.GetValue())
 }
 
-// allowed keeps loads within the weight store's limit; the order stays due.
-func (s *Sender) allowed(o *statev1.Order) bool {
+// takeRateLimit reports whether an order may be sent within the rate limit of the weight
+// store, and counts it. Orders other than loads are not limited.
+func (s *Sender) takeRateLimit(o *statev1.Order) bool {
 	return o.GetKind() != statev1.Order_KIND_LOAD || s.loads.AllowN(s.opts.Clock.Wall(), 1)
 }
--- a/services/orders/orders_test.go
+++ b/services/orders/orders_test.go
@@ -21,27 +21,28 @@
 	standin "havenwinch.dev/havenwinch/standin/engine"
 )
 
-// fixture is one state, a target, and control boxes that may lead.
+// fixture has a replicated state and a target, shared by control boxes that may become
+// the leader.
 type fixture struct {
 	clock  *clock.Fake
 	state  *state.State
 	engine *standin.Engine
-	// fail makes sending fail; seen is called before each sending.
-	fail error
-	seen func()
+	// sendErr is the error of every send, nil for none. beforeSend is called before each send.
+	sendErr    error
+	beforeSend func()
 }
 
 func (f *fixture) Read(look func(st *state.State)) { look(f.state) }
 
 func (f *fixture) Send(_ context.Context, _ string, o *statev1.Order) error {
-	if f.seen != nil {
-		f.seen()
+	if f.beforeSend != nil {
+		f.beforeSend()
 	}
-	if f.fail != nil {
-		return f.fail
+	if f.sendErr != nil {
+		return f.sendErr
 	}
 	if !f.engine.Order(standin.Order{Token: o.GetToken(), Kind: "load", Value: o.GetValue()}) {
-		return errors.New("an order with a newer token was taken before")
+		return errors.New("an order with a higher token is in force")
 	}
 	return nil
 }
@@ -50,14 +51,15 @@
 	return f.engine.InForce("load").Token, nil
 }
 
-func (f *fixture) order(value string) {
+func (f *fixture) putOrder(value string) {
 	a := &statev1.Command_PutOrder{PutOrder: &statev1.PutOrder{Order: &statev1.Order{Target: "e", Kind: statev1.Order_KIND_LOAD, Value: value}}}
 	c := &statev1.Command{Operator: "op", Number: f.state.LastToken + 1, Digest: value, Action: a}
 	f.state.Apply(&statev1.Entry{Kind: &statev1.Entry_Command{Command: c}})
 }
 
-// box is a control box with a lease that a test sets.
+// box is a control box whose lease is set by the test.
 type box struct {
+	// until is the boot time at which the lease ends.
 	until  time.Duration
 	sender *orders.Sender
 }
@@ -77,8 +79,8 @@
 	return b
 }
 
-// run ticks a box for a while, under a lease that is renewed.
-func (f *fixture) run(b *box, d time.Duration) {
+// runLeader lets a box run for d with a lease that is renewed before every tick.
+func (f *fixture) runLeader(b *box, d time.Duration) {
 	for end := f.clock.Boot() + d; f.clock.Boot() < end; {
 		f.clock.Advance(250 * time.Millisecond)
 		b.until = f.clock.Boot() + 800*time.Millisecond
@@ -101,16 +103,16 @@
 		want   []string
 	}{
 		"sent once": {false, func(f *fixture) {
-			f.order("one")
-			f.run(f.box(), 10*time.Second)
+			f.putOrder("one")
+			f.runLeader(f.box(), 10*time.Second)
 		}, []string{"one"}},
 		"only the newest is sent": {false, func(f *fixture) {
-			f.order("one")
-			f.order("two")
-			f.run(f.box(), 10*time.Second)
+			f.putOrder("one")
+			f.putOrder("two")
+			f.runLeader(f.box(), 10*time.Second)
 		}, []string{"two"}},
 		"a box without a lease sends nothing": {false, func(f *fixture) {
-			f.order("one")
+			f.putOrder("one")
 			b := f.box()
 			for range 40 {
 				f.clock.Advance(250 * time.Millisecond)
@@ -118,7 +120,7 @@
 			}
 		}, nil},
 		"a lease shorter than one sending is not used": {false, func(f *fixture) {
-			f.order("one")
+			f.putOrder("one")
 			b := f.box()
 			for range 40 {
 				f.clock.Advance(250 * time.Millisecond)
@@ -126,30 +128,30 @@
 				b.sender.Tick(context.Background())
 			}
 		}, nil},
-		"a box that was frozen sends nothing when thawed": {false, func(f *fixture) {
+		"a paused box sends nothing when it resumes": {false, func(f *fixture) {
 			old, next := f.box(), f.box()
-			f.order("one")
-			f.run(old, 5*time.Second)
-			f.order("two")
+			f.putOrder("one")
+			f.runLeader(old, 5*time.Second)
+			f.putOrder("two")
 			f.clock.Advance(time.Minute)
-			f.run(next, 5*time.Second)
+			f.runLeader(next, 5*time.Second)
 			old.sender.Tick(context.Background())
 		}, []string{"one", "two"}},
-		"frozen between reading back and sending, target checks": {true, func(f *fixture) {
-			f.late("one", "two")
-			f.run(f.box(), 40*time.Second)
+		"paused between reading back and sending, target checks tokens": {true, func(f *fixture) {
+			f.sendStale("one", "two")
+			f.runLeader(f.box(), 40*time.Second)
 		}, []string{"two"}},
-		"frozen between reading back and sending, target does not check": {false, func(f *fixture) {
-			f.late("one", "two")
-			f.run(f.box(), 40*time.Second)
+		"paused between reading back and sending, target does not check tokens": {false, func(f *fixture) {
+			f.sendStale("one", "two")
+			f.runLeader(f.box(), 40*time.Second)
 		}, []string{"two", "one", "two"}},
 		"a refused order is sent again": {false, func(f *fixture) {
-			f.fail = errors.New("not now")
-			f.order("one")
+			f.sendErr = errors.New("not now")
+			f.putOrder("one")
 			b := f.box()
-			f.run(b, 5*time.Second)
-			f.fail = nil
-			f.run(b, 5*time.Second)
+			f.runLeader(b, 5*time.Second)
+			f.sendErr = nil
+			f.runLeader(b, 5*time.Second)
 		}, []string{"one"}},
 	}
 	for name, test := range tests {
@@ -163,13 +165,13 @@
 	}
 }
 
-// late carries out the newer order, and then brings the older one, which a
-// frozen box had on its way.
-func (f *fixture) late(older, newer string) {
-	f.order(older)
+// sendStale gets the newer order carried out and then sends the older one, as a paused box
+// does when it resumes.
+func (f *fixture) sendStale(older, newer string) {
+	f.putOrder(older)
 	stale := f.state.Orders["e/KIND_LOAD"]
-	f.order(newer)
-	f.run(f.box(), 5*time.Second)
+	f.putOrder(newer)
+	f.runLeader(f.box(), 5*time.Second)
 	_ = f.Send(context.Background(), "e", stale)
 }
 
@@ -180,16 +182,16 @@
 		f.state.Apply(&statev1.Entry{Kind: &statev1.Entry_Command{Command: &statev1.Command{Operator: "op", Number: f.state.LastToken + 1, Digest: target, Action: a}}})
 	}
 	var sent []time.Duration
-	f.seen = func() { sent = append(sent, f.clock.Boot()) }
-	f.fail = errors.New("never in force, so that every load is tried again")
-	f.run(f.box(), 5*time.Second)
-	f.run(f.box(), 5*time.Second)
+	f.beforeSend = func() { sent = append(sent, f.clock.Boot()) }
+	f.sendErr = errors.New("every load fails, so that it is retried")
+	f.runLeader(f.box(), 5*time.Second)
+	f.runLeader(f.box(), 5*time.Second)
 	for i := 1; i < len(sent); i++ {
 		if sent[i]-sent[i-1] < time.Second {
-			t.Errorf("two loads %v apart, over a change of leader", sent[i]-sent[i-1])
+			t.Errorf("loads sent %v apart, want at least 1s, also across a change of leader", sent[i]-sent[i-1])
 		}
 	}
 	if len(sent) < 5 {
-		t.Errorf("only %d loads in 10 s", len(sent))
+		t.Errorf("%d loads sent in 10s, want at least 5", len(sent))
 	}
 }
--- a/services/overload/overload_test.go
+++ b/services/overload/overload_test.go
@@ -14,18 +14,18 @@
 
 func TestBusyBySteps(t *testing.T) {
 	const link = 8.0 // a megabyte a second
-	// step is some seconds of traffic, and what is believed at their end.
+	// step is a period of traffic in bytes per second, and the expected state at its end.
 	type step struct {
 		seconds    int
 		rate       int
 		busy, shed bool
 	}
 	cases := map[string][]step{
-		"below the bound":    {{seconds: 5, rate: 450e3}},
-		"above it":           {{seconds: 2, rate: 800e3, busy: true}, {seconds: 2, rate: 800e3, busy: true, shed: true}},
-		"a short burst":      {{seconds: 2, rate: 800e3, busy: true}, {seconds: 3, rate: 100e3}},
-		"between the bounds": {{seconds: 2, rate: 800e3, busy: true}, {seconds: 3, rate: 400e3, busy: true, shed: true}},
-		"it does not move":   {{seconds: 12, rate: 900e3}, {seconds: 6, rate: 900e3, busy: true}, {seconds: 2, rate: 900e3, busy: true, shed: true}},
+		"below busyAbove":     {{seconds: 5, rate: 450e3}},
+		"above busyAbove":     {{seconds: 2, rate: 800e3, busy: true}, {seconds: 2, rate: 800e3, busy: true, shed: true}},
+		"a short burst":       {{seconds: 2, rate: 800e3, busy: true}, {seconds: 3, rate: 100e3}},
+		"between the bounds":  {{seconds: 2, rate: 800e3, busy: true}, {seconds: 3, rate: 400e3, busy: true, shed: true}},
+		"longer than maxBusy": {{seconds: 12, rate: 900e3}, {seconds: 6, rate: 900e3, busy: true}, {seconds: 2, rate: 900e3, busy: true, shed: true}},
 	}
 	for name, steps := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -40,15 +40,15 @@
 					w.sample()
 				}
 				if w.Busy() != s.busy || w.Sheds() != s.shed {
-					t.Fatalf("step %d: busy %v, sheds %v, load %.2f", i, w.Busy(), w.Sheds(), w.state.load)
+					t.Fatalf("step %d: busy %v, sheds %v, load %.2f", i, w.Busy(), w.Sheds(), w.samples.load)
 				}
 			}
 		})
 	}
 }
 
-// A crowded link is told apart from a busy one: also while the box asks for new
-// connections again.
+// A link counts as crowded from a lower load on than a box counts as busy, and does so also
+// while the box accepts new connections.
 func TestCrowded(t *testing.T) {
 	w := &Watcher{Link: 10, Clock: clock.NewFake(), Logger: logging.Discard()}
 	for name, step := range map[string]struct {
@@ -59,8 +59,8 @@
 		"crowded": {load: (quietBelow + busyAbove) / 2, crowded: true},
 		"busy":    {load: 1, crowded: true},
 	} {
-		w.state.load = step.load
-		w.decide(time.Second)
+		w.samples.load = step.load
+		w.updateState(time.Second)
 		if w.Crowded() != step.crowded {
 			t.Errorf("%s: crowded %v", name, w.Crowded())
 		}
