--- a/services/metrics/metrics.go
+++ b/services/metrics/metrics.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package metrics counts what a box does, for Prometheus.
+// Package metrics holds the Prometheus metrics of a box.
 package metrics
 
 import (
@@ -14,20 +14,21 @@
 
 const namespace = "havenwinch"
 
-// Metrics are the counters of a box.
+// Metrics are the counters and histograms of a box.
 type Metrics struct {
-	Registry   *prometheus.Registry
-	requests   *prometheus.CounterVec
-	firstToken *prometheus.HistogramVec
-	tokens     prometheus.Counter
-	firstByte  *prometheus.HistogramVec
-	forwarded  *prometheus.CounterVec
-	refused    prometheus.Counter
-	limits     *prometheus.CounterVec
-	odd        *prometheus.CounterVec
+	Registry       *prometheus.Registry
+	requests       *prometheus.CounterVec
+	firstToken     *prometheus.HistogramVec
+	events         prometheus.Counter
+	firstByte      *prometheus.HistogramVec
+	sends          *prometheus.CounterVec
+	entriesRefused prometheus.Counter
+	limits         *prometheus.CounterVec
+	oddAnswers     *prometheus.CounterVec
 }
 
-// New returns counters in a registry of their own.
+// New returns metrics in a registry of their own, together with those of the Go runtime and
+// the process.
 func New() *Metrics {
 	m := &Metrics{
 		Registry: prometheus.NewRegistry(),
@@ -38,50 +39,50 @@
 			Namespace: namespace, Name: "first_token_seconds", Help: "Time from admission to the first token.",
 			Buckets: []float64{.01, .025, .05, .1, .25, .5, 1, 2.5, 5, 10, 60},
 		}, []string{"priority"}),
-		tokens: prometheus.NewCounter(prometheus.CounterOpts{
+		events: prometheus.NewCounter(prometheus.CounterOpts{
 			Namespace: namespace, Name: "events_total", Help: "Events of answers carried to callers.",
 		}),
 		firstByte: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: namespace, Name: "first_byte_seconds", Help: "Time from a call's arrival to the first byte of its answer, by kind of route.",
 			Buckets: []float64{.01, .025, .05, .1, .25, .5, 1, 2.5, 5, 10},
 		}, []string{"kind"}),
-		forwarded: prometheus.NewCounterVec(prometheus.CounterOpts{
+		sends: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: namespace, Name: "sends_total", Help: "Calls sent to targets, by service and status class or failure.",
 		}, []string{"service", "outcome"}),
 	}
-	m.refused = prometheus.NewCounter(prometheus.CounterOpts{
+	m.entriesRefused = prometheus.NewCounter(prometheus.CounterOpts{
 		Namespace: namespace, Name: "target_entries_refused_total", Help: "Entries of the list of targets that could not be used.",
 	})
 	m.limits = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Namespace: namespace, Name: "target_limits_total", Help: "What targets that name limits said, and what became of requests to them, by event.",
 	}, []string{"event"})
-	m.odd = prometheus.NewCounterVec(prometheus.CounterOpts{
+	m.oddAnswers = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Namespace: namespace, Name: "odd_answers_total", Help: "Bytes of targets that are not the answer as agreed, by service and form.",
 	}, []string{"service", "form"})
-	m.Registry.MustRegister(m.odd, m.limits, m.refused, m.requests, m.firstToken, m.tokens, m.firstByte, m.forwarded, collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
+	m.Registry.MustRegister(m.oddAnswers, m.limits, m.entriesRefused, m.requests, m.firstToken, m.events, m.firstByte, m.sends, collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return m
 }
 
-// Limit counts an event of targets that name limits.
+// Limit counts an event of targets that report limits.
 func (m *Metrics) Limit(event string) { m.limits.WithLabelValues(event).Inc() }
 
-// Odd counts bytes of targets that are not the answer as agreed.
-func (m *Metrics) Odd(service, form string) { m.odd.WithLabelValues(service, form).Inc() }
+// Odd counts occurrences of bytes from a target that are not a valid answer.
+func (m *Metrics) Odd(service, form string) { m.oddAnswers.WithLabelValues(service, form).Inc() }
 
-// EntryRefused counts an entry of the list of targets that could not be used.
-func (m *Metrics) EntryRefused() { m.refused.Inc() }
+// EntryRefused counts an unusable entry of the list of targets.
+func (m *Metrics) EntryRefused() { m.entriesRefused.Inc() }
 
-// Gauge adds a value that is read when it is asked for.
+// Gauge registers a gauge. read is called whenever the metrics are collected.
 func (m *Metrics) Gauge(name, help string, read func() float64) {
 	m.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help}, read))
 }
 
-// Done counts the outcome of a request.
+// Done counts a request by its outcome.
 func (m *Metrics) Done(organisation, outcome string) {
 	m.requests.WithLabelValues(organisation, outcome).Inc()
 }
 
-// FirstToken notes the time to a request's first token.
+// FirstToken records the time from the admission of a request to its first token.
 func (m *Metrics) FirstToken(interactive bool, d time.Duration) {
 	priority := "batch"
 	if interactive {
@@ -91,16 +92,16 @@
 }
 
 // Tokens counts events of answers.
-func (m *Metrics) Tokens(n uint64) { m.tokens.Add(float64(n)) }
+func (m *Metrics) Tokens(n uint64) { m.events.Add(float64(n)) }
 
-// FirstByte notes the time to the first byte of a call's answer.
+// FirstByte records the time from the arrival of a call to the first byte of its answer.
 func (m *Metrics) FirstByte(kind string, d time.Duration) {
 	m.firstByte.WithLabelValues(kind).Observe(d.Seconds())
 }
 
-// Forwarded counts a send to a target; the outcome's first word is its label,
-// so that there are few.
+// Forwarded counts a call sent to a target. Only the first word of the outcome is used as a
+// label, so that the number of time series stays small.
 func (m *Metrics) Forwarded(service, outcome string) {
 	word, _, _ := strings.Cut(outcome, " ")
-	m.forwarded.WithLabelValues(service, word).Inc()
+	m.sends.WithLabelValues(service, word).Inc()
 }
--- a/services/peers/consensus.go
+++ b/services/peers/consensus.go
@@ -14,16 +14,16 @@
 	"havenwinch.dev/havenwinch/gen/havenwinch/between/v1/betweenv1connect"
 )
 
-// Consensus carries the replicated log between control boxes. It implements
-// raft.Transport.
+// Consensus sends the messages of the consensus protocol between control boxes. It
+// implements raft.Transport.
 type Consensus struct {
 	peers   *Peers
 	mu      sync.Mutex
 	clients map[string]betweenv1connect.ConsensusServiceClient
 }
 
-// Consensus returns a transport over boxes by name. A box that is not listed
-// has its address for a name.
+// Consensus returns a transport for boxes, whose addresses are given by name. The name of
+// a box that is not in addresses is taken as its address.
 func (p *Peers) Consensus(addresses map[string]string) *Consensus {
 	c := &Consensus{peers: p, clients: map[string]betweenv1connect.ConsensusServiceClient{}}
 	for name, address := range addresses {
@@ -53,7 +53,7 @@
 	return betweenv1connect.NewDrawServiceClient(p.client, p.BaseURL(address), p.ClientOptions()...)
 }
 
-// Control returns clients of the control service by name.
+// Control returns clients of the control service, keyed by the name of the box.
 func (p *Peers) Control(addresses map[string]string) map[string]betweenv1connect.ControlServiceClient {
 	clients := map[string]betweenv1connect.ControlServiceClient{}
 	for name, address := range addresses {
@@ -67,7 +67,7 @@
 	return betweenv1connect.NewConfigurationServiceClient(p.client, p.BaseURL(address), p.ClientOptions()...)
 }
 
-// Recall asks a keeper for free tokens.
+// Recall asks a keeper to return free tokens.
 func (p *Peers) Recall(ctx context.Context, address string, r *betweenv1.RecallRequest) (*betweenv1.RecallResponse, error) {
 	return unary(ctx, r, p.Keeper(address).Recall)
 }
--- a/services/peers/peers.go
+++ b/services/peers/peers.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package peers connects boxes with each other: clients by address, the
-// listener, who may speak, and the stamps that order the time line.
+// Package peers provides the connections between boxes: clients, the HTTP server, the
+// authentication of calls, and the logical timestamps that order the timeline.
 package peers
 
 import (
@@ -35,18 +35,18 @@
 	headerStamp   = "Havenwinch-Stamp"
 	headerRequest = "Havenwinch-Request"
 
-	// maxMessage bounds a message between boxes, in bytes.
+	// maxMessage is the maximum size of a message between boxes, in bytes.
 	maxMessage = 256 << 20
-	// authWindow is how far the clocks of two boxes may differ.
-	authWindow = 10 * time.Minute
+	// maxClockSkew is the maximum difference between the clocks of two boxes.
+	maxClockSkew = 10 * time.Minute
 
 	dialTimeout = time.Second
-	// dialAgain is when another attempt is begun beside one without an answer: a round
-	// trip between regions. Entry boxes that start before control have a table 0.4 s
-	// sooner by it.
-	dialAgain   = 200 * time.Millisecond
-	idleTimeout = 90 * time.Second
-	pingAfter   = time.Second
+	// redialInterval is the delay after which a second connection attempt is started
+	// in parallel with one that is still pending: one round trip between regions. With it,
+	// entry boxes that start before control get their routing table 0.4 s sooner.
+	redialInterval = 200 * time.Millisecond
+	idleTimeout    = 90 * time.Second
+	pingTimeout    = time.Second
 )
 
 // Options configure Peers.
@@ -57,13 +57,13 @@
 	Stamps *hlc.Clock
 	// TLS is nil for plain connections.
 	TLS *tls.Config
-	// IP is the address to dial from, so that other boxes and the network
-	// between see which box a connection comes from; nil leaves the choice to
-	// the system.
+	// IP is the local address of outgoing connections, by which other boxes and the
+	// network identify this box. Nil leaves the choice to the operating system.
 	IP net.IP
 }
 
-// Peers makes clients to other boxes and checks what arrives from them.
+// Peers creates clients of other boxes and authenticates the calls of other boxes. It is an
+// interceptor for both directions.
 type Peers struct {
 	opts   Options
 	client *http.Client
@@ -72,7 +72,7 @@
 	keepers map[string]betweenv1connect.KeeperServiceClient
 }
 
-// New returns peers that speak HTTP/2, over TLS when it is configured.
+// New returns Peers that use HTTP/2, with TLS if it is configured.
 func New(opts Options) *Peers {
 	var protocols http.Protocols
 	protocols.SetHTTP2(opts.TLS != nil)
@@ -83,16 +83,16 @@
 	}
 	transport := &http.Transport{
 		Protocols: &protocols,
-		// A copy for each side: the library writes into what it is given.
+		// The client and the server each get a copy, since net/http modifies it.
 		TLSClientConfig: opts.TLS.Clone(),
-		DialContext:     dial.Within(dial.Again(dialer.DialContext, dialAgain), dialTimeout),
+		DialContext:     dial.Within(dial.Again(dialer.DialContext, redialInterval), dialTimeout),
 		IdleConnTimeout: idleTimeout,
-		HTTP2:           &http.HTTP2Config{SendPingTimeout: pingAfter, PingTimeout: pingAfter},
+		HTTP2:           &http.HTTP2Config{SendPingTimeout: pingTimeout, PingTimeout: pingTimeout},
 	}
 	return &Peers{opts: opts, client: &http.Client{Transport: transport}, keepers: map[string]betweenv1connect.KeeperServiceClient{}}
 }
 
-// LoadTLS reads the files for mutual TLS; empty names give nil.
+// LoadTLS reads the files for mutual TLS. It returns nil if cert is empty.
 func LoadTLS(cert, key, authority string) (*tls.Config, error) {
 	if cert == "" {
 		return nil, nil
@@ -118,7 +118,7 @@
 	}, nil
 }
 
-// BaseURL returns the URL of a box at an address.
+// BaseURL returns the URL of the box at an address.
 func (p *Peers) BaseURL(address string) string {
 	if p.opts.TLS != nil {
 		return "https://" + address
@@ -126,9 +126,9 @@
 	return "http://" + address
 }
 
-// ClientOptions returns the options for connect clients. The library would have
-// every answer compressed anew, however short; what is large is packed once by
-// its sender (modules/pack).
+// ClientOptions returns the options for connect clients. They disable compression, since
+// the library would compress each response separately, however short. Large messages are
+// compressed once by their sender (modules/pack).
 func (p *Peers) ClientOptions() []connect.ClientOption {
 	return []connect.ClientOption{connect.WithInterceptors(p), connect.WithReadMaxBytes(maxMessage), connect.WithAcceptCompression("gzip", nil, nil)}
 }
@@ -138,7 +138,7 @@
 	return []connect.HandlerOption{connect.WithInterceptors(p), connect.WithReadMaxBytes(maxMessage)}
 }
 
-// Keeper returns the client of a keeper.
+// Keeper returns the client of the keeper at an address. Clients are cached.
 func (p *Peers) Keeper(address string) betweenv1connect.KeeperServiceClient {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -150,7 +150,7 @@
 	return client
 }
 
-// Server returns an HTTP server for handlers of other boxes' calls.
+// Server returns an HTTP server for the calls of other boxes.
 func (p *Peers) Server(handler http.Handler) *http.Server {
 	var protocols http.Protocols
 	protocols.SetHTTP1(true)
@@ -159,32 +159,33 @@
 	return &http.Server{Handler: handler, Protocols: &protocols, TLSConfig: p.opts.TLS.Clone(), ReadHeaderTimeout: dialTimeout}
 }
 
-// sign returns "box time code", where the code covers the procedure.
+// sign returns "box time MAC". The MAC covers the box, the time and the procedure, but not
+// the message.
 func (p *Peers) sign(procedure string) string {
 	at := strconv.FormatInt(p.opts.Clock.Wall().Unix(), 10)
-	return p.opts.Box + " " + at + " " + p.code(p.opts.Box, at, procedure)
+	return p.opts.Box + " " + at + " " + p.mac(p.opts.Box, at, procedure)
 }
 
-func (p *Peers) code(box, at, procedure string) string {
+func (p *Peers) mac(box, at, procedure string) string {
 	mac := hmac.New(sha256.New, p.opts.Secret)
 	mac.Write([]byte(box + " " + at + " " + procedure))
 	return hex.EncodeToString(mac.Sum(nil))
 }
 
-// verify checks what sign made.
+// verify checks a header that was made by sign.
 func (p *Peers) verify(header, procedure string) error {
 	fields := strings.Fields(header)
-	if len(fields) != 3 || !hmac.Equal([]byte(fields[2]), []byte(p.code(fields[0], fields[1], procedure))) {
+	if len(fields) != 3 || !hmac.Equal([]byte(fields[2]), []byte(p.mac(fields[0], fields[1], procedure))) {
 		return connect.NewError(connect.CodeUnauthenticated, errors.New("this box does not share the secret: check secret-file on both boxes"))
 	}
 	at, err := strconv.ParseInt(fields[1], 10, 64)
-	if err != nil || p.opts.Clock.Wall().Sub(time.Unix(at, 0)).Abs() > authWindow {
+	if err != nil || p.opts.Clock.Wall().Sub(time.Unix(at, 0)).Abs() > maxClockSkew {
 		return connect.NewError(connect.CodeUnauthenticated, errors.New("the clocks of the two boxes differ too much: set them"))
 	}
 	return nil
 }
 
-func (p *Peers) outgoing(ctx context.Context, header http.Header, procedure string) {
+func (p *Peers) setHeaders(ctx context.Context, header http.Header, procedure string) {
 	header.Set(headerAuth, p.sign(procedure))
 	header.Set(headerStamp, p.opts.Stamps.Now().String())
 	if request := timeline.RequestOf(ctx); request != "" {
@@ -192,7 +193,7 @@
 	}
 }
 
-func (p *Peers) incoming(ctx context.Context, header http.Header, procedure string) (context.Context, error) {
+func (p *Peers) authenticate(ctx context.Context, header http.Header, procedure string) (context.Context, error) {
 	if err := p.verify(header.Get(headerAuth), procedure); err != nil {
 		return ctx, err
 	}
@@ -204,14 +205,14 @@
 func (p *Peers) WrapUnary(next connect.UnaryFunc) connect.UnaryFunc {
 	return func(ctx context.Context, r connect.AnyRequest) (connect.AnyResponse, error) {
 		if r.Spec().IsClient {
-			p.outgoing(ctx, r.Header(), r.Spec().Procedure)
+			p.setHeaders(ctx, r.Header(), r.Spec().Procedure)
 			resp, err := next(ctx, r)
 			if err == nil {
 				p.opts.Stamps.Observe(hlc.Parse(resp.Header().Get(headerStamp)))
 			}
 			return resp, err
 		}
-		ctx, err := p.incoming(ctx, r.Header(), r.Spec().Procedure)
+		ctx, err := p.authenticate(ctx, r.Header(), r.Spec().Procedure)
 		if err != nil {
 			return nil, err
 		}
@@ -227,7 +228,7 @@
 func (p *Peers) WrapStreamingClient(next connect.StreamingClientFunc) connect.StreamingClientFunc {
 	return func(ctx context.Context, spec connect.Spec) connect.StreamingClientConn {
 		conn := next(ctx, spec)
-		p.outgoing(ctx, conn.RequestHeader(), spec.Procedure)
+		p.setHeaders(ctx, conn.RequestHeader(), spec.Procedure)
 		return conn
 	}
 }
@@ -235,7 +236,7 @@
 // WrapStreamingHandler implements connect.Interceptor.
 func (p *Peers) WrapStreamingHandler(next connect.StreamingHandlerFunc) connect.StreamingHandlerFunc {
 	return func(ctx context.Context, conn connect.StreamingHandlerConn) error {
-		ctx, err := p.incoming(ctx, conn.RequestHeader(), conn.Spec().Procedure)
+		ctx, err := p.authenticate(ctx, conn.RequestHeader(), conn.Spec().Procedure)
 		if err != nil {
 			return err
 		}
--- a/services/peers/peers_test.go
+++ b/services/peers/peers_test.go
@@ -19,7 +19,7 @@
 	"havenwinch.dev/havenwinch/tests/certs"
 )
 
-// keeper answers beats only.
+// keeper implements only Beat.
 type keeper struct {
 	betweenv1connect.UnimplementedKeeperServiceHandler
 }
@@ -37,10 +37,11 @@
 	return peers.New(peers.Options{Box: "box", Secret: []byte(secret), Clock: c, Stamps: hlc.New(c), TLS: tls, IP: net.IPv4(127, 0, 0, 1)})
 }
 
-// TestWhoMaySpeak calls a box in the ways that must be let in and kept out.
+// TestWhoMaySpeak checks which calls between boxes are accepted: they must match the server
+// in the use of TLS, the certificate authority, the shared secret and, roughly, the clock.
 func TestWhoMaySpeak(t *testing.T) {
 	const secret = "a secret that is shared"
-	ours, theirs := certs.New(t), certs.New(t)
+	trusted, untrusted := certs.New(t), certs.New(t)
 	tests := map[string]struct {
 		server certs.Files
 		client certs.Files
@@ -48,15 +49,15 @@
 		skew   time.Duration
 		ok     bool
 	}{
-		"plain":                        {certs.Files{}, certs.Files{}, secret, 0, true},
-		"plain, another secret":        {certs.Files{}, certs.Files{}, "another secret", 0, false},
-		"plain, clocks a little apart": {certs.Files{}, certs.Files{}, secret, time.Minute, true},
-		"plain, clocks far apart":      {certs.Files{}, certs.Files{}, secret, time.Hour, false},
-		"TLS":                          {ours, ours, secret, 0, true},
-		"TLS, another secret":          {ours, ours, "another secret", 0, false},
-		"TLS, another authority":       {ours, theirs, secret, 0, false},
-		"TLS, plain caller":            {ours, certs.Files{}, secret, 0, false},
-		"plain, TLS caller":            {certs.Files{}, ours, secret, 0, false},
+		"plain":                    {certs.Files{}, certs.Files{}, secret, 0, true},
+		"plain, wrong secret":      {certs.Files{}, certs.Files{}, "another secret", 0, false},
+		"plain, clock 1m off":      {certs.Files{}, certs.Files{}, secret, time.Minute, true},
+		"plain, clock 1h off":      {certs.Files{}, certs.Files{}, secret, time.Hour, false},
+		"TLS":                      {trusted, trusted, secret, 0, true},
+		"TLS, wrong secret":        {trusted, trusted, "another secret", 0, false},
+		"TLS, untrusted authority": {trusted, untrusted, secret, 0, false},
+		"TLS server, plain client": {trusted, certs.Files{}, secret, 0, false},
+		"plain server, TLS client": {certs.Files{}, trusted, secret, 0, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -83,7 +84,7 @@
 			defer cancel()
 			_, err = client.Keeper(l.Addr().String()).Beat(ctx, connect.NewRequest(&betweenv1.BeatRequest{Box: "x"}))
 			if (err == nil) != test.ok {
-				t.Errorf("got %v", err)
+				t.Errorf("unexpected result: error %v", err)
 			}
 		})
 	}
--- a/services/peers/silent_test.go
+++ b/services/peers/silent_test.go
@@ -18,15 +18,15 @@
 	"havenwinch.dev/havenwinch/tests/certs"
 )
 
-// muting is a proxy whose open connections can fall silent for good, while new ones
-// work.
-type muting struct {
+// blackholeProxy is a TCP proxy that can silently drop all data of its open connections,
+// while new connections work.
+type blackholeProxy struct {
 	l net.Listener
-	// muted is the number of the connection up to which all are silent.
+	// accepted is the number of connections so far. The first muted of them are silent.
 	accepted, muted atomic.Int64
 }
 
-func (m *muting) serve(target string) {
+func (m *blackholeProxy) serve(target string) {
 	for {
 		c, err := m.l.Accept()
 		if err != nil {
@@ -38,12 +38,12 @@
 			continue
 		}
 		n := m.accepted.Add(1)
-		go m.pass(n, c, server)
-		go m.pass(n, server, c)
+		go m.forward(n, c, server)
+		go m.forward(n, server, c)
 	}
 }
 
-func (m *muting) pass(n int64, to, from net.Conn) {
+func (m *blackholeProxy) forward(n int64, to, from net.Conn) {
 	defer to.Close()
 	buffer := make([]byte, 4096)
 	for {
@@ -60,8 +60,9 @@
 	}
 }
 
-// Connections between boxes may fall silent for good without a reset. The next
-// calls fail and the connection is given up; then a new one serves.
+// A connection between boxes may stop delivering data without a reset, for example when the
+// network drops its packets. Calls on it must time out until the HTTP/2 ping detects the
+// dead connection and a new one is opened.
 func TestConnectionsThatFallSilent(t *testing.T) {
 	p := newPeers(t, "a secret that is shared", certs.Files{}, clock.System{})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -77,7 +78,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = front.Close() })
-	m := &muting{l: front}
+	m := &blackholeProxy{l: front}
 	go m.serve(l.Addr().String())
 	client := p.Keeper(front.Addr().String())
 	beat := func() error {
@@ -90,15 +91,15 @@
 		t.Fatal(err)
 	}
 	m.muted.Store(m.accepted.Load())
-	began := time.Now()
+	start := time.Now()
 	failed := 0
 	for err = beat(); err != nil; err = beat() {
 		if failed++; failed > 100 {
-			t.Fatalf("no call was answered any more: %v", err)
+			t.Fatalf("all calls fail after the connection fell silent: %v", err)
 		}
 	}
 	if failed == 0 || m.accepted.Load() < 2 {
-		t.Fatalf("%d calls failed over %d connections", failed, m.accepted.Load())
+		t.Fatalf("%d calls failed over %d connections, want at least 1 over 2", failed, m.accepted.Load())
 	}
-	t.Logf("%d calls failed, the next was answered after %d ms", failed, time.Since(began).Milliseconds())
+	t.Logf("%d calls failed, the next was answered after %d ms", failed, time.Since(start).Milliseconds())
 }
