--- a/services/dispatch/admit.go
+++ b/services/dispatch/admit.go
@@ -23,8 +23,8 @@
 	// keeperRetryAfter is the Retry-After for callers while the home keeper of their
 	// key is unreachable.
 	keeperRetryAfter = 2 * time.Second
-	// shortRetryAfter is the Retry-After where another box can answer at once, or an
-	// earlier attempt is about to.
+	// shortRetryAfter is the Retry-After for callers where the reason passes soon, or
+	// does not hold at another box.
 	shortRetryAfter = time.Second
 )
 
--- a/services/dispatch/dispatch.go
+++ b/services/dispatch/dispatch.go
@@ -45,7 +45,7 @@
 
 // Engines sends requests to model engines and servers of plain services.
 type Engines interface {
-	Generate(ctx context.Context, address string, call engine.Call) (*engine.Stream, error)
+	Generate(ctx context.Context, address string, call engine.GenerateCall) (*engine.Stream, error)
 	Resume(ctx context.Context, address, id string, after int) (*engine.Stream, error)
 	Cancel(ctx context.Context, address, id string) (engine.RunState, error)
 	Status(ctx context.Context, address, id string) (engine.RunState, error)
--- a/services/dispatch/serve.go
+++ b/services/dispatch/serve.go
@@ -152,7 +152,7 @@
 	}
 	at.record("started", fmt.Sprintf("%s, run %d", s.target.Name, at.runs))
 	r := at.admission.Request
-	call := engine.Call{ID: at.streamID(), Scope: r.Scope, Interactive: r.Interactive(), Body: r.Body}
+	call := engine.GenerateCall{ID: at.streamID(), Scope: r.Scope, Interactive: r.Interactive(), Body: r.Body}
 	stream, err := at.d.opts.Engines.Generate(ctx, s.address, call)
 	if err != nil {
 		return at.handleNoStream(ctx, s.address, out, err)
--- a/services/engine/engine.go
+++ b/services/engine/engine.go
@@ -35,8 +35,8 @@
 	maxServiceBody = 64 << 20
 )
 
-// Call is a request for one generation.
-type Call struct {
+// GenerateCall is a request for one generation.
+type GenerateCall struct {
 	// ID identifies the run at the engine.
 	ID          string
 	Scope       string
@@ -207,7 +207,7 @@
 // Generate starts a run and returns its stream. The end of the context closes the
 // connection. An engine that supports resuming treats that as a lost caller and goes on;
 // only Cancel ends the run.
-func (c *Client) Generate(ctx context.Context, address string, call Call) (*Stream, error) {
+func (c *Client) Generate(ctx context.Context, address string, call GenerateCall) (*Stream, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	req.Header.SetMethod(fasthttp.MethodPost)
--- a/services/keeper/reserve.go
+++ b/services/keeper/reserve.go
@@ -30,8 +30,8 @@
 	done  chan ledger.Outcome
 }
 
-// waitQueue is a heap of the waiters of one budget, ordered by priority, then by arrival.
-// It also holds the latest information from control about the budget.
+// waitQueue is a heap of the waiters of one budget: interactive requests first, then by
+// arrival. It also holds the latest information from control about the budget.
 type waitQueue struct {
 	waiters  []*waiter
 	arrivals uint64
