--- a/services/control/client.go
+++ b/services/control/client.go
@@ -17,17 +17,18 @@
 	"havenwinch.dev/havenwinch/modules/raft"
 )
 
-// HeaderLeader names the leader in the error of a box that does not lead.
+// HeaderLeader is the metadata key of the leader's name in the error that a box
+// returns when it is not the leader.
 const HeaderLeader = "Havenwinch-Leader"
 
-// attemptTimeout is how long one box is waited for; a frozen one must not
+// attemptTimeout bounds a call to one box, so that a box that hangs does not
 // keep a call from reaching the others.
 const attemptTimeout = 2 * time.Second
 
-// roundPause is the time between two rounds over all boxes.
-const roundPause = 100 * time.Millisecond
+// roundInterval is the delay after all boxes were tried, before they are tried again.
+const roundInterval = 100 * time.Millisecond
 
-// Client finds the leading control box and asks it.
+// Client calls the leader of the control group. It is safe for concurrent use.
 type Client struct {
 	names   []string
 	clients map[string]betweenv1connect.ControlServiceClient
@@ -36,59 +37,61 @@
 	leader string
 }
 
-// NewClient returns a client over the control boxes by name.
+// NewClient returns a client for the control boxes of the given names, of which
+// there must be at least one. The first is tried first.
 func NewClient(names []string, clients map[string]betweenv1connect.ControlServiceClient) *Client {
 	return &Client{names: names, clients: clients, leader: names[0]}
 }
 
-// Sync sends a holder's reports.
+// Sync sends a holder's reports and returns its allotments.
 func (c *Client) Sync(ctx context.Context, r *betweenv1.SyncRequest) (*betweenv1.SyncResponse, error) {
-	return call(ctx, c, r, betweenv1connect.ControlServiceClient.Sync)
+	return callLeader(ctx, c, r, betweenv1connect.ControlServiceClient.Sync)
 }
 
-// Register brings a ledger into force.
+// Register registers a keeper's ledger and returns its holder name.
 func (c *Client) Register(ctx context.Context, r *betweenv1.RegisterRequest) (*betweenv1.RegisterResponse, error) {
-	return call(ctx, c, r, betweenv1connect.ControlServiceClient.Register)
+	return callLeader(ctx, c, r, betweenv1connect.ControlServiceClient.Register)
 }
 
-// Command sends an operator's command.
+// Command submits an operator's command.
 func (c *Client) Command(ctx context.Context, r *betweenv1.CommandRequest) (*betweenv1.CommandResponse, error) {
-	return call(ctx, c, r, betweenv1connect.ControlServiceClient.Command)
+	return callLeader(ctx, c, r, betweenv1connect.ControlServiceClient.Command)
 }
 
-// Query sends a query.
 func (c *Client) Query(ctx context.Context, r *betweenv1.QueryRequest) (*betweenv1.QueryResponse, error) {
-	return call(ctx, c, r, betweenv1connect.ControlServiceClient.Query)
+	return callLeader(ctx, c, r, betweenv1connect.ControlServiceClient.Query)
 }
 
-// ReportCalls tells control of calls under which targets ended, and numbers the report.
+// ReportCalls reports calls during which targets failed, and sets the report's
+// number from the answer.
 func (c *Client) ReportCalls(ctx context.Context, r *statev1.ReportCalls) error {
-	resp, err := call(ctx, c, &betweenv1.ReportCallsRequest{Report: r}, betweenv1connect.ControlServiceClient.ReportCalls)
+	resp, err := callLeader(ctx, c, &betweenv1.ReportCallsRequest{Report: r}, betweenv1connect.ControlServiceClient.ReportCalls)
 	r.Number = resp.GetNumber()
 	return err
 }
 
-// method is a call of the control service.
+// method is a method of the generated client of the control service.
 type method[Q, A any] func(betweenv1connect.ControlServiceClient, context.Context, *connect.Request[Q]) (*connect.Response[A], error)
 
-// call asks round after round until a leader answers or the context ends.
-// Every call may be repeated: commands carry numbers, reports only rise.
-func call[Q, A any](ctx context.Context, c *Client, r *Q, m method[Q, A]) (*A, error) {
+// callLeader tries all boxes repeatedly until the leader answers or the context is
+// done. All calls are idempotent: commands are numbered, and the counters of
+// reports never decrease.
+func callLeader[Q, A any](ctx context.Context, c *Client, r *Q, m method[Q, A]) (*A, error) {
 	for {
-		resp, err := round(ctx, c, r, m)
-		if err == nil || !askAnother(err) {
+		resp, err := tryAll(ctx, c, r, m)
+		if err == nil || !shouldTryOther(err) {
 			return resp, err
 		}
 		select {
 		case <-ctx.Done():
 			return nil, err
-		case <-time.After(roundPause):
+		case <-time.After(roundInterval):
 		}
 	}
 }
 
-// round asks the box that led last and then the others, each once.
-func round[Q, A any](ctx context.Context, c *Client, r *Q, m method[Q, A]) (*A, error) {
+// tryAll tries each box once, starting with the last known leader.
+func tryAll[Q, A any](ctx context.Context, c *Client, r *Q, m method[Q, A]) (*A, error) {
 	var last error
 	next := c.lastLeader()
 	asked := map[string]bool{}
@@ -96,14 +99,14 @@
 		asked[next] = true
 		resp, err := attempt(ctx, c.clients[next], r, m)
 		if err == nil {
-			c.remember(next)
+			c.setLeader(next)
 			return resp.Msg, nil
 		}
-		if !askAnother(err) {
+		if !shouldTryOther(err) {
 			return nil, err
 		}
 		last = err
-		next = c.after(err, asked)
+		next = c.nextBox(err, asked)
 	}
 	return nil, last
 }
@@ -114,10 +117,10 @@
 	return m(client, ctx, connect.NewRequest(r))
 }
 
-// askAnother tells whether another box may answer better: this one does not
-// lead or can't be reached. An error that no box has sent is one of the
-// connection, whatever code it is given.
-func askAnother(err error) bool {
+// shouldTryOther reports whether a call that failed with err should be tried on
+// another box, because this one is not the leader or can't be reached. An error
+// that was not received from a box is a connection error, whatever its code.
+func shouldTryOther(err error) bool {
 	code := connect.CodeOf(err)
 	return !connect.IsWireError(err) || code == connect.CodeUnavailable || code == connect.CodeDeadlineExceeded
 }
@@ -128,14 +131,15 @@
 	return c.leader
 }
 
-func (c *Client) remember(leader string) {
+func (c *Client) setLeader(leader string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.leader = leader
 }
 
-// after returns the box to ask next, the named leader first.
-func (c *Client) after(err error, asked map[string]bool) string {
+// nextBox returns the box to try nextBox err: the leader that err names, or else the
+// first box that was not tried. It returns "" when all were tried.
+func (c *Client) nextBox(err error, asked map[string]bool) string {
 	var failure *connect.Error
 	if errors.As(err, &failure) {
 		leader := failure.Meta().Get(HeaderLeader)
@@ -151,7 +155,8 @@
 	return ""
 }
 
-// WireError gives an error of the control service its form between boxes.
+// WireError converts an error of the control service to a connect error. For
+// raft.ErrNotLeader the metadata names the leader, if it is known.
 func WireError(err error) error {
 	switch {
 	case err == nil:
--- a/services/control/control.go
+++ b/services/control/control.go
@@ -22,28 +22,31 @@
 	"havenwinch.dev/havenwinch/services/timeline"
 )
 
-// seenTimeout is how long ago a holder may have reported to be granted tokens
-// that it has not asked for.
-const seenTimeout = 5 * time.Second
+// activeTimeout is the age of a holder's last report up to which it may be granted
+// tokens that it did not request.
+const activeTimeout = 5 * time.Second
 
-// maxRows bounds the unasked rows of one answer.
-const maxRows = 2048
+// maxUnrequestedRows bounds the rows of one answer for budgets that the holder did not report.
+const maxUnrequestedRows = 2048
 
-// recallTimeout bounds how long a holder in need waits for others to return.
+// recallTimeout bounds how long a holder with waiting requests waits for other
+// holders to return tokens.
 const recallTimeout = 250 * time.Millisecond
 
 // Log is the replicated log.
 type Log interface {
+	// Propose commits an entry and returns the state machine's answer to it.
 	Propose(ctx context.Context, data []byte) (any, error)
+	// ReadBarrier returns nil once the state reflects everything that was committed
+	// before the call, and raft.ErrNotLeader on a box that is not the leader.
 	ReadBarrier() error
 }
 
-// Holders reaches keepers to ask tokens back.
+// Holders sends recalls to keepers.
 type Holders interface {
 	Recall(ctx context.Context, address string, r *betweenv1.RecallRequest) (*betweenv1.RecallResponse, error)
 }
 
-// Options configure a Service.
 type Options struct {
 	Log      Log
 	Machine  *Machine
@@ -54,26 +57,26 @@
 	Logger   *slog.Logger
 }
 
-// Service answers operators and keepers.
+// Service handles the calls of operators and keepers on a control box.
 type Service struct {
 	opts    Options
-	recalls recalls
+	recalls recallTracker
 
 	mu sync.Mutex
-	// seen holds when a holder last reported; leaving ones are left out.
-	seen map[string]time.Duration
+	// lastReports maps each holder to the boot time of its last report, except for
+	// holders that are leaving.
+	lastReports map[string]time.Duration
 }
 
-// New returns a service.
 func New(opts Options) *Service {
-	return &Service{opts: opts, recalls: recalls{busy: map[string]bool{}}, seen: map[string]time.Duration{}}
+	return &Service{opts: opts, recalls: recallTracker{inFlight: map[string]bool{}}, lastReports: map[string]time.Duration{}}
 }
 
 func (s *Service) propose(ctx context.Context, e *statev1.Entry) (any, error) {
 	return propose(ctx, s.opts.Log, e)
 }
 
-// propose puts an entry through the log and returns the state's answer to it.
+// propose commits an entry and returns the state machine's answer to it.
 func propose(ctx context.Context, log Log, e *statev1.Entry) (any, error) {
 	data, err := proto.Marshal(e)
 	if err != nil {
@@ -82,7 +85,8 @@
 	return log.Propose(ctx, data)
 }
 
-// Command parses an operator's command and puts it through the log.
+// Command parses an operator's command and commits it. A command that the state
+// refuses is a result, not an error.
 func (s *Service) Command(ctx context.Context, r *betweenv1.CommandRequest) (*statev1.CommandResult, error) {
 	c, err := language.ParseCommand(r.GetOperator(), r.GetNumber(), r.GetExpectRevision(), r.GetText())
 	if err != nil {
@@ -104,12 +108,13 @@
 	return result, nil
 }
 
-// Quarantine returns what takes reports of calls under which targets ended.
+// Quarantine returns the service's handler of reports of calls during which
+// targets failed.
 func (s *Service) Quarantine() *Quarantine {
 	return &Quarantine{Log: s.opts.Log, Machine: s.opts.Machine, Clock: s.opts.Clock, Logger: s.opts.Logger}
 }
 
-// Register brings a keeper's ledger into force.
+// Register commits the registration of a keeper's ledger.
 func (s *Service) Register(ctx context.Context, r *statev1.RegisterKeeper) (*betweenv1.RegisterResponse, error) {
 	r.Time = s.opts.Clock.Wall().UnixMilli()
 	answer, err := s.propose(ctx, &statev1.Entry{Kind: &statev1.Entry_RegisterKeeper{RegisterKeeper: r}})
@@ -131,14 +136,14 @@
 	return resp, nil
 }
 
-// Sync takes a holder's reports in and grants what the policy plans. When a
-// waiting request of the holder lacks tokens that others have free, these are
-// asked back first.
+// Sync commits a holder's reports and grants it what the policy plans. When a
+// waiting request of the holder needs tokens that other holders have free, it
+// recalls these first and waits for them up to recallTimeout.
 func (s *Service) Sync(ctx context.Context, m *statev1.Sync) (*betweenv1.SyncResponse, error) {
 	if err := s.opts.Log.ReadBarrier(); err != nil {
 		return nil, err
 	}
-	s.see(m)
+	s.markActive(m)
 	var missing []recall
 	if !m.GetLeaving() {
 		m.Grants, missing = s.plan(m.GetHolder(), m.GetReports())
@@ -149,9 +154,9 @@
 		}
 	}
 	urgent, later := splitByNeed(missing, m.GetReports())
-	s.recallLater(later)
+	s.recallInBackground(later)
 	if len(urgent) > 0 {
-		s.recallNow(ctx, urgent)
+		s.recallAndWait(ctx, urgent)
 		again, _ := s.plan(m.GetHolder(), m.GetReports())
 		if len(again) > 0 {
 			if err := s.proposeSync(ctx, &statev1.Sync{Holder: m.GetHolder(), Grants: again}); err != nil {
@@ -159,24 +164,24 @@
 			}
 		}
 	}
-	return s.rows(m.GetHolder(), m.GetReports()), nil
+	return s.syncResponse(m.GetHolder(), m.GetReports()), nil
 }
 
-// see notes that a holder is at work, or is leaving.
-func (s *Service) see(m *statev1.Sync) {
+// markActive records the time of a holder's report, or removes a holder that is leaving.
+func (s *Service) markActive(m *statev1.Sync) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.seen[m.GetHolder()] = s.opts.Clock.Boot()
+	s.lastReports[m.GetHolder()] = s.opts.Clock.Boot()
 	if m.GetLeaving() {
-		delete(s.seen, m.GetHolder())
+		delete(s.lastReports, m.GetHolder())
 	}
 }
 
-func (s *Service) seenLately(holder string) bool {
+func (s *Service) isActive(holder string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	at, ok := s.seen[holder]
-	return ok && s.opts.Clock.Boot()-at < seenTimeout
+	at, ok := s.lastReports[holder]
+	return ok && s.opts.Clock.Boot()-at < activeTimeout
 }
 
 func (s *Service) proposeSync(ctx context.Context, m *statev1.Sync) error {
@@ -191,7 +196,8 @@
 	return synced.Err
 }
 
-// plan asks the policy about each reported budget.
+// plan applies the policy to each reported budget. It returns the grants to commit
+// and the recalls to make for what is still missing.
 func (s *Service) plan(holder string, reports []*statev1.BudgetReport) (grants []*statev1.Grant, missing []recall) {
 	s.opts.Machine.Read(func(st *state.State) {
 		keepers := state.Sorted(st.Keepers)
@@ -200,7 +206,7 @@
 			if b == nil {
 				continue
 			}
-			holders, asker := viewOf(keepers, b, holder, r)
+			holders, asker := policyInput(keepers, b, holder, r)
 			if asker < 0 {
 				continue
 			}
@@ -209,7 +215,7 @@
 				grants = append(grants, &statev1.Grant{Budget: b.Name, Tokens: plan.Grant})
 			}
 			for _, one := range plan.Spread {
-				if s.seenLately(one.Holder) {
+				if s.isActive(one.Holder) {
 					grants = append(grants, &statev1.Grant{Budget: b.Name, Tokens: one.Tokens, Holder: one.Holder})
 				}
 			}
@@ -221,9 +227,9 @@
 	return grants, missing
 }
 
-// viewOf returns what the policy sees: all ledgers in force, the asker's with
-// the numbers it has just reported.
-func viewOf(keepers []*statev1.KeeperMember, b *state.Budget, asker string, r *statev1.BudgetReport) ([]allot.Holder, int) {
+// policyInput returns the policy's input: all ledgers in force, with the numbers of r
+// for the asker, and the asker's index, which is -1 if it has no ledger in force.
+func policyInput(keepers []*statev1.KeeperMember, b *state.Budget, asker string, r *statev1.BudgetReport) ([]allot.Holder, int) {
 	at := -1
 	var holders []allot.Holder
 	for _, k := range keepers {
@@ -260,8 +266,10 @@
 	return ""
 }
 
-// rows returns what a holder has of the reported budgets.
-func (s *Service) rows(holder string, reports []*statev1.BudgetReport) *betweenv1.SyncResponse {
+// syncResponse returns the holder's allotments of the reported budgets, and of up to
+// maxUnrequestedRows budgets of which it was granted tokens that it did not request and has
+// not reported yet.
+func (s *Service) syncResponse(holder string, reports []*statev1.BudgetReport) *betweenv1.SyncResponse {
 	resp := &betweenv1.SyncResponse{}
 	s.opts.Machine.Read(func(st *state.State) {
 		names := map[string]bool{}
@@ -269,7 +277,7 @@
 			names[r.GetBudget()] = true
 		}
 		for budget := range st.Untold[holder] {
-			if len(names) < len(reports)+maxRows {
+			if len(names) < len(reports)+maxUnrequestedRows {
 				names[budget] = true
 			}
 		}
@@ -282,7 +290,7 @@
 				Budget:     b.Name,
 				Allotted:   b.Of(holder).GetAllotted(),
 				Unallotted: b.Unallotted(),
-				Gone:       gone(st, b),
+				Gone:       unrecoverable(st, b),
 				Granted:    b.Granted,
 			})
 		}
@@ -290,8 +298,9 @@
 	return resp
 }
 
-// gone is what can't come back: what is spent, and all that lost ledgers held.
-func gone(st *state.State, b *state.Budget) uint64 {
+// unrecoverable returns the tokens of a budget that can't be allotted again: those that
+// were spent, and all that lost ledgers held.
+func unrecoverable(st *state.State, b *state.Budget) uint64 {
 	sum := uint64(0)
 	for _, a := range b.Allotments {
 		if st.InForce(a.GetHolder()) {
--- a/services/control/controltest/log.go
+++ b/services/control/controltest/log.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package controltest has stand-ins of control for tests.
+// Package controltest provides fakes of the control service for tests.
 package controltest
 
 import (
@@ -10,7 +10,7 @@
 	"havenwinch.dev/havenwinch/services/control"
 )
 
-// Log applies entries at once, as a group of one would.
+// Log applies entries immediately, like a group with a single member.
 type Log struct{ Machine *control.Machine }
 
 // Propose implements control.Log.
--- a/services/control/directory.go
+++ b/services/control/directory.go
@@ -11,93 +11,96 @@
 )
 
 const (
-	// listedFor is how long an entry box stays in the directory after its last
-	// report: longer than a restart or a cut, so that leases stay where they are.
-	listedFor = 20 * time.Second
-	// gatherFor is how long a box that begins to lead gathers reports before it
-	// gives a directory out.
-	gatherFor = 1500 * time.Millisecond
-	// sweepEvery is the time between looks at rows that are over.
-	sweepEvery = 500 * time.Millisecond
+	// directoryTTL is how long an entry box stays in the directory after its last
+	// report. It exceeds a restart or a network partition, so that leases do not move.
+	directoryTTL = 20 * time.Second
+	// directoryWarmup is how long a new leader collects reports before it publishes a
+	// directory.
+	directoryWarmup = 1500 * time.Millisecond
+	// sweepInterval is how often expired rows are removed.
+	sweepInterval = 500 * time.Millisecond
 )
 
-// directory is the leader's list of entry boxes, from their reports. It is not
-// replicated: a new leader gathers it anew.
+// directory is the leader's list of entry boxes, built from their reports. It is
+// not replicated: a new leader collects it again.
 type directory struct {
-	rows map[string]directoryRow
-	made *lease.Directory
-	// since is when this box began to gather, last when it heard a report.
-	since, last time.Duration
-	sweeps      sweeps
+	entries map[string]directoryEntry
+	built   *lease.Directory
+	// collectingSince is when this box began to collect reports, lastReport when it
+	// received the last one.
+	collectingSince, lastReport time.Duration
+	throttle                    sweepThrottle
 }
 
-type directoryRow struct {
-	box lease.Box
-	at  time.Duration
+type directoryEntry struct {
+	box        lease.Box
+	reportedAt time.Duration
 }
 
-// note takes a report's box in.
-func (d *directory) note(r *betweenv1.LeaseRequest, now time.Duration) {
-	if d.rows == nil || now-d.last > holderTimeout {
-		d.since = now
+// record stores the box of a report. After holderTimeout without any report the
+// collection starts over.
+func (d *directory) record(r *betweenv1.LeaseRequest, now time.Duration) {
+	if d.entries == nil || now-d.lastReport > holderTimeout {
+		d.collectingSince = now
 	}
-	if d.rows == nil {
-		d.rows = map[string]directoryRow{}
+	if d.entries == nil {
+		d.entries = map[string]directoryEntry{}
 	}
-	d.last = now
+	d.lastReport = now
 	if r.GetAddress() == "" {
 		return
 	}
 	box := lease.Box{Name: r.GetBox(), Address: r.GetAddress(), DataCentre: r.GetDataCentre()}
-	if d.rows[box.Name].box != box {
-		d.made = nil
+	if d.entries[box.Name].box != box {
+		d.built = nil
 	}
-	d.rows[box.Name] = directoryRow{box: box, at: now}
-	d.sweep(now)
+	d.entries[box.Name] = directoryEntry{box: box, reportedAt: now}
+	d.removeExpired(now)
 }
 
-// sweep removes boxes that have not reported for long.
-func (d *directory) sweep(now time.Duration) {
-	if !d.sweeps.due(now) {
+// removeExpired removes boxes that have not reported within directoryTTL.
+func (d *directory) removeExpired(now time.Duration) {
+	if !d.throttle.allow(now) {
 		return
 	}
-	for name, row := range d.rows {
-		if now-row.at > listedFor {
-			delete(d.rows, name)
-			d.made = nil
+	for name, row := range d.entries {
+		if now-row.reportedAt > directoryTTL {
+			delete(d.entries, name)
+			d.built = nil
 		}
 	}
 }
 
-// current returns the directory, nil while it is still being gathered.
+// current returns the directory, or nil while reports are still being collected.
 func (d *directory) current(now time.Duration) *lease.Directory {
-	if d.rows == nil || now-d.since < gatherFor {
+	if d.entries == nil || now-d.collectingSince < directoryWarmup {
 		return nil
 	}
-	if d.made == nil {
-		boxes := make([]lease.Box, 0, len(d.rows))
-		for _, row := range d.rows {
+	if d.built == nil {
+		boxes := make([]lease.Box, 0, len(d.entries))
+		for _, row := range d.entries {
 			boxes = append(boxes, row.box)
 		}
-		d.made = lease.NewDirectory(boxes)
+		d.built = lease.NewDirectory(boxes)
 	}
-	return d.made
+	return d.built
 }
 
-// sweeps spaces the looks at rows that are over.
-type sweeps struct{ last time.Duration }
+// sweepThrottle limits how often expired rows are removed.
+type sweepThrottle struct{ last time.Duration }
 
-// due tells whether it is time for the next look, and notes it.
-func (s *sweeps) due(now time.Duration) bool {
-	if now-s.last < sweepEvery {
+// allow reports whether sweepInterval has passed since it last returned true.
+func (s *sweepThrottle) allow(now time.Duration) bool {
+	if now-s.last < sweepInterval {
 		return false
 	}
 	s.last = now
 	return true
 }
 
-// wireDirectory returns a directory as it is sent, nil for a box that has it.
-func wireDirectory(d *lease.Directory, has uint64) *betweenv1.Directory {
+// directoryMessage converts a directory to its message. It returns nil if there is
+// none or the receiver has this version already.
+func directoryMessage(d *lease.Directory, has uint64) *betweenv1.Directory {
 	if d == nil || d.Version == has {
 		return nil
 	}
--- a/services/control/directory_test.go
+++ b/services/control/directory_test.go
@@ -12,8 +12,8 @@
 	betweenv1 "havenwinch.dev/havenwinch/gen/havenwinch/between/v1"
 )
 
-// hear reports as a box with an address and returns the answer.
-func (f *gatewayFixture) hear(t *testing.T, box string, need uint64) *betweenv1.LeaseResponse {
+// reportBox sends a report of a box that has an address and returns the answer.
+func (f *gatewayFixture) reportBox(t *testing.T, box string, need uint64) *betweenv1.LeaseResponse {
 	t.Helper()
 	r := &betweenv1.LeaseRequest{Holder: box + "@1", Box: box, Address: box + ":1", DataCentre: "dc", Sample: 1}
 	r.Reports = []*betweenv1.LeaseReport{{Organisation: "o", Need: need}}
@@ -24,12 +24,12 @@
 	return resp
 }
 
-// hearAll reports as boxes a, b, ... and returns how many are granted tokens
-// unasked.
-func (f *gatewayFixture) hearAll(t *testing.T, boxes int) (granted int) {
+// reportBoxes sends a report of each of the boxes box-0, box-1 and so on, and returns how
+// many are granted tokens that they did not request.
+func (f *gatewayFixture) reportBoxes(t *testing.T, boxes int) (granted int) {
 	t.Helper()
 	for n := range boxes {
-		if f.hear(t, fmt.Sprint("box-", n), 0).GetGrants()[0].GetAllotted() > 0 {
+		if f.reportBox(t, fmt.Sprint("box-", n), 0).GetGrants()[0].GetAllotted() > 0 {
 			granted++
 		}
 	}
@@ -38,31 +38,31 @@
 
 func TestFewBoxesHoldLeases(t *testing.T) {
 	f := newGateway(t)
-	if got := f.hearAll(t, 9); got != 0 {
-		t.Fatalf("%d boxes were granted tokens before the fleet is known", got)
+	if got := f.reportBoxes(t, 9); got != 0 {
+		t.Fatalf("%d boxes were granted tokens before the directory was complete", got)
 	}
-	if got := f.hear(t, "box-0", 50).GetGrants()[0].GetAllotted(); got < 50 {
-		t.Fatalf("granted %d to a box whose requests lack 50", got)
+	if got := f.reportBox(t, "box-0", 50).GetGrants()[0].GetAllotted(); got < 50 {
+		t.Fatalf("granted %d tokens to a box whose requests need 50", got)
 	}
-	f.clock.Advance(gatherFor)
-	if got := f.hearAll(t, 9); got != 2+1 && got != 2 {
-		t.Fatalf("%d of 9 boxes hold leases", got)
+	f.clock.Advance(directoryWarmup)
+	if got := f.reportBoxes(t, 9); got != 2+1 && got != 2 {
+		t.Fatalf("%d of 9 boxes hold leases, want 2 or 3", got)
 	}
-	if got := f.hear(t, "box-1", 0).GetDirectory().GetBoxes(); len(got) != 9 {
+	if got := f.reportBox(t, "box-1", 0).GetDirectory().GetBoxes(); len(got) != 9 {
 		t.Fatalf("the directory lists %d boxes", len(got))
 	}
 }
 
-// A box from which much of an organisation's demand comes gets a lease of its
-// own, and gives it back when that is over.
+// A box that causes much of an organisation's demand gets its own lease, and returns
+// it when its demand has dropped.
 func TestHeavyGuestGetsALease(t *testing.T) {
 	f := newGateway(t)
-	f.hearAll(t, 9)
-	f.clock.Advance(gatherFor)
-	f.hearAll(t, 9)
+	f.reportBoxes(t, 9)
+	f.clock.Advance(directoryWarmup)
+	f.reportBoxes(t, 9)
 	guest, holder := "", ""
 	f.mu.Lock()
-	d := f.boxes.current(f.clock.Boot())
+	d := f.entryBoxes.current(f.clock.Boot())
 	for _, b := range d.Boxes {
 		if d.Holds(b.Name, "dc", "o") {
 			holder = b.Name
@@ -86,38 +86,38 @@
 	}
 	ask(holder, 24000, 0)
 	if got := ask(guest, 1500, 0).GetAllotted(); got != 0 {
-		t.Fatalf("a box with a small part of the demand was granted %d", got)
+		t.Fatalf("a box with a small share of the demand was granted %d tokens", got)
 	}
 	got := ask(guest, 6000, 0)
 	if got.GetAllotted() == 0 {
 		t.Fatal("a box with a quarter of the demand was granted nothing")
 	}
 	if got := ask(guest, 100, 0); got.GetKeep() != 0 {
-		t.Fatalf("a box that draws little any more keeps %d", got.GetKeep())
+		t.Fatalf("a box whose demand has dropped keeps %d tokens", got.GetKeep())
 	}
 }
 
-// The directory outlives a cut of all boxes, and is not given out by a box that
-// has just begun to lead.
+// The directory survives a partition from all entry boxes, and a leader that has
+// received no reports for a while does not publish it before directoryWarmup has passed.
 func TestDirectoryOutlivesACut(t *testing.T) {
 	cases := map[string]struct {
 		away time.Duration
-		// boxes are listed in the first directory after it.
+		// boxes is the number of boxes in the first directory after that.
 		boxes int
 	}{
-		"a cut":               {away: 9 * time.Second, boxes: 9},
-		"boxes that are gone": {away: listedFor + time.Second, boxes: 1},
+		"partition":     {away: 9 * time.Second, boxes: 9},
+		"boxes removed": {away: directoryTTL + time.Second, boxes: 1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			f := newGateway(t)
-			f.hearAll(t, 9)
+			f.reportBoxes(t, 9)
 			f.clock.Advance(c.away)
-			if f.hear(t, "box-0", 0).GetDirectory() != nil {
-				t.Fatal("a directory was given out at once after nobody had reported for long")
+			if f.reportBox(t, "box-0", 0).GetDirectory() != nil {
+				t.Fatal("a directory was published with the first report after a long pause")
 			}
-			f.clock.Advance(gatherFor)
-			if got := len(f.hear(t, "box-0", 0).GetDirectory().GetBoxes()); got != c.boxes {
+			f.clock.Advance(directoryWarmup)
+			if got := len(f.reportBox(t, "box-0", 0).GetDirectory().GetBoxes()); got != c.boxes {
 				t.Fatalf("the directory lists %d boxes, want %d", got, c.boxes)
 			}
 		})
--- a/services/control/gateway.go
+++ b/services/control/gateway.go
@@ -19,51 +19,50 @@
 	"havenwinch.dev/havenwinch/modules/clock"
 )
 
-// holderTimeout is how long a holder counts after its last report.
+// holderTimeout is how long after its last report a holder counts as present.
 const holderTimeout = 3 * time.Second
 
-// Gateway answers entry boxes and operators for the calls that are passed
-// through: routing tables, registered targets and leases of prepaid budgets.
+// Gateway serves entry boxes and operators what forwarded calls depend on: routing
+// tables, registered targets and leases of prepaid budgets.
 type Gateway struct {
 	Log     Log
 	Machine *Machine
 	Clock   clock.Clock
 	Logger  *slog.Logger
-	// Self is this box's address, Boot the name of its machine's boot.
+	// Self is this box's address, Boot identifies the current boot of its machine.
 	Self string
 	Boot string
 	// Members returns the addresses of the control group's members.
 	Members func() []string
-	// Clocks asks another control box for its clock.
+	// Clocks reads the clocks of another control box.
 	Clocks func(ctx context.Context, address string) (*betweenv1.ReadClockResponse, error)
 
-	mu      sync.Mutex
-	holders map[string]*holderRow
-	// boxes lists the entry boxes.
-	boxes    directory
-	readings readings
-	limits   limits
-	days     map[string]dayReading
-	sweeps   sweeps
-	// told names holders of which the log has said that nothing is reclaimed.
-	told map[string]bool
+	mu         sync.Mutex
+	holders    map[string]*holderState
+	entryBoxes directory
+	readings   readings
+	limits     limits
+	wallClocks map[string]wallClockReading
+	throttle   sweepThrottle
+	// loggedHolders holds the holders for which a failed reclaim has been logged.
+	loggedHolders map[string]bool
 }
 
-// holderRow is what a holder reported last. It is not replicated: a new leader
-// learns it from the next reports.
-type holderRow struct {
-	at      time.Duration
-	demands map[string]*betweenv1.LeaseReport
-	// sample is the number of the last sample, stamp the moment before which it
-	// was not yet taken, and answered when its first answer was sent.
-	sample   uint64
-	stamp    *statev1.LeaseStamp
-	answered time.Duration
-	days     []*statev1.DayTime
+// holderState is a holder's last report. It is not replicated: a new leader learns
+// it from the next reports.
+type holderState struct {
+	reportedAt time.Duration
+	reports    map[string]*betweenv1.LeaseReport
+	// sample is the number of the last sample, stamp a lower bound of the time it
+	// was taken, and answeredAt the boot time at which it was first answered.
+	sample     uint64
+	stamp      *statev1.LeaseStamp
+	answeredAt time.Duration
+	wallClocks []*statev1.DayTime
 }
 
-// Submit puts a change of the routing table or of targets, or a report of calls,
-// through the log.
+// Submit commits a change of the routing table or of targets, or a report of
+// calls.
 func (g *Gateway) Submit(ctx context.Context, e *statev1.Entry) error {
 	if r := e.GetReportCalls(); r != nil {
 		return g.Quarantine().Report(ctx, r)
@@ -79,12 +78,13 @@
 	return refused
 }
 
-// Quarantine returns what takes reports of calls under which targets ended.
+// Quarantine returns the gateway's handler of reports of calls during which
+// targets failed.
 func (g *Gateway) Quarantine() *Quarantine {
 	return &Quarantine{Log: g.Log, Machine: g.Machine, Clock: g.Clock, Logger: g.Logger}
 }
 
-// Read returns the newest table that was put in force anywhere before the call.
+// Read returns the newest routing table that was committed before the call.
 func (g *Gateway) Read() (*betweenv1.ReadRoutingResponse, error) {
 	if err := g.Log.ReadBarrier(); err != nil {
 		return nil, err
@@ -98,24 +98,25 @@
 	return resp, nil
 }
 
-// Lease takes a holder's report in and decides what it may keep and gets.
+// Lease records a holder's report and answers what the holder may keep of its
+// leases and what it is granted.
 func (g *Gateway) Lease(ctx context.Context, r *betweenv1.LeaseRequest) (*betweenv1.LeaseResponse, error) {
 	if err := g.Log.ReadBarrier(); err != nil {
 		return nil, err
 	}
-	g.reclaimBefore(ctx, r)
-	holders, directory, stamp := g.note(r)
+	g.reclaimPredecessors(ctx, r)
+	holders, directory, stamp := g.record(r)
 	if directory == nil {
-		// A box that has just begun to lead has not heard of all yet.
+		// A new leader has not received reports of all boxes yet.
 		holders = 0
 	}
-	resp := &betweenv1.LeaseResponse{Holders: uint32(holders), Directory: wireDirectory(directory, r.GetDirectory()), Readings: g.noteReadings(r)}
-	g.noteLimits(r, resp)
+	resp := &betweenv1.LeaseResponse{Holders: uint32(holders), Directory: directoryMessage(directory, r.GetDirectory()), Readings: g.recordReadings(r)}
+	g.recordLimits(r, resp)
 	sync := &statev1.LeaseSync{Holder: r.GetHolder(), Box: r.GetBox(), Stamp: stamp, Leaving: r.GetLeaving()}
 	at := make([]int, 0, len(r.GetReports()))
 	g.Machine.Read(func(s *state.State) {
 		for i, report := range r.GetReports() {
-			grant, change := g.decide(s, r, report, directory)
+			grant, change := g.decideLease(s, r, report, directory)
 			resp.Grants = append(resp.Grants, grant)
 			if change != nil {
 				sync.Changes = append(sync.Changes, change)
@@ -132,7 +133,7 @@
 			resp.Grants[at[i]].Allotted = allotted
 		}
 	}
-	g.answer(r)
+	g.recordAnswer(r)
 	return resp, nil
 }
 
@@ -153,8 +154,9 @@
 	return granted, nil
 }
 
-// decide returns the answer to one report, and the change it needs, if any.
-func (g *Gateway) decide(s *state.State, r *betweenv1.LeaseRequest, report *betweenv1.LeaseReport, d *lease.Directory) (*betweenv1.LeaseGrant, *statev1.LeaseChange) {
+// decideLease returns the answer to one report and the change to commit for it, nil if
+// there is none.
+func (g *Gateway) decideLease(s *state.State, r *betweenv1.LeaseRequest, report *betweenv1.LeaseReport, d *lease.Directory) (*betweenv1.LeaseGrant, *statev1.LeaseChange) {
 	grant := &betweenv1.LeaseGrant{Organisation: report.GetOrganisation()}
 	b := s.Routing.Prepaid[report.GetOrganisation()]
 	if b == nil {
@@ -163,12 +165,12 @@
 	row := b.Of(r.GetHolder())
 	returned := max(report.GetReturned(), row.GetReturned())
 	available := row.GetAllotted() - min(row.GetAllotted(), returned+report.GetSpent())
-	free, rate, left := g.demandOf(s, b)
+	free, rate, left := g.usageOf(s, b)
 	decision := allot.LeaseDecision{}
 	if !r.GetLeaving() {
 		decision = allot.Lease(
 			allot.LeaseState{Prepaid: b.Granted, Unallotted: b.Unallotted(), Holders: d.Count(b.Name), Free: free, Rate: rate},
-			allot.LeaseDemand{Part: partOf(r, d, report, rate, available > report.GetReserved()), Available: available, Reserved: report.GetReserved(), Rate: report.GetRate(), Need: report.GetNeed()},
+			allot.LeaseDemand{Part: leaseRole(r, d, report, rate, available > report.GetReserved()), Available: available, Reserved: report.GetReserved(), Rate: report.GetRate(), Need: report.GetNeed()},
 		)
 	}
 	grant.Allotted, grant.Keep, grant.Left, grant.Unallotted = row.GetAllotted(), decision.Keep, left, b.Unallotted()-decision.Grant
@@ -181,15 +183,16 @@
 	}
 }
 
-// heavyParts is the part of an organisation's demand, as one in so many, from
-// which on a box gets a lease of its own.
-const heavyParts = 12
+// heavyDemandDivisor is the reciprocal of the share of an organisation's demand from which
+// on a box gets its own lease: one twelfth.
+const heavyDemandDivisor = 12
 
-// partOf tells whether a box should hold an organisation's lease. One that
-// others can't draw at holds its own, and so does one from which much of the
-// organisation's demand comes; one that has a lease keeps it a little longer.
-func partOf(r *betweenv1.LeaseRequest, d *lease.Directory, report *betweenv1.LeaseReport, rate uint64, has bool) allot.LeasePart {
-	parts := uint64(heavyParts)
+// leaseRole returns whether a box should hold a lease of an organisation's budget. A
+// box without an address, at which others can't draw, holds its own lease, and so
+// does one that causes at least 1/heavyDemandDivisor of the organisation's demand. For a
+// box that has a lease half of that is enough, as hysteresis.
+func leaseRole(r *betweenv1.LeaseRequest, d *lease.Directory, report *betweenv1.LeaseReport, rate uint64, has bool) allot.LeasePart {
+	parts := uint64(heavyDemandDivisor)
 	if has {
 		parts *= 2
 	}
@@ -207,42 +210,41 @@
 	}
 }
 
-// note remembers a report. It returns how many boxes report at present, the
-// directory of them once it is sure, and the moment before which the report's
-// sample was not yet taken: when the answer to the sample before it was first
-// sent from here.
-func (g *Gateway) note(r *betweenv1.LeaseRequest) (holders int, d *lease.Directory, stamp *statev1.LeaseStamp) {
+// record stores a report. It returns how many holders report at present, the
+// directory, nil while it is incomplete, and a lower bound of the time at which the
+// report's sample was taken: when this box first answered the previous sample.
+func (g *Gateway) record(r *betweenv1.LeaseRequest) (holders int, d *lease.Directory, stamp *statev1.LeaseStamp) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.holders == nil {
-		g.holders = map[string]*holderRow{}
+		g.holders = map[string]*holderState{}
 	}
 	now := g.Clock.Boot()
-	g.boxes.note(r, now)
+	g.entryBoxes.record(r, now)
 	if r.GetLeaving() {
 		delete(g.holders, r.GetHolder())
-		return max(1, len(g.holders)), g.boxes.current(now), nil
+		return max(1, len(g.holders)), g.entryBoxes.current(now), nil
 	}
 	row := g.holders[r.GetHolder()]
 	if row == nil {
-		row = &holderRow{}
+		row = &holderState{}
 		g.holders[r.GetHolder()] = row
 	}
 	if r.GetSample() != row.sample {
-		row.stamp = g.stampAfter(row, r.GetSample())
-		row.sample, row.answered = r.GetSample(), 0
+		row.stamp = g.stampOf(row, r.GetSample())
+		row.sample, row.answeredAt = r.GetSample(), 0
 	}
-	row.at, row.demands = now, map[string]*betweenv1.LeaseReport{}
+	row.reportedAt, row.reports = now, map[string]*betweenv1.LeaseReport{}
 	for _, report := range r.GetReports() {
-		row.demands[report.GetOrganisation()] = report
+		row.reports[report.GetOrganisation()] = report
 	}
-	g.sweepHolders(now)
-	return len(g.holders), g.boxes.current(now), row.stamp
+	g.removeSilentHolders(now)
+	return len(g.holders), g.entryBoxes.current(now), row.stamp
 }
 
-// noteReadings takes in what a holder's long prompts cost to read, and returns
-// the sum over all.
-func (g *Gateway) noteReadings(r *betweenv1.LeaseRequest) []*betweenv1.ReadingLoad {
+// recordReadings records the prefill load that a holder's long prompts cause, and
+// returns the sum over all holders by service.
+func (g *Gateway) recordReadings(r *betweenv1.LeaseRequest) []*betweenv1.ReadingLoad {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	loads := r.GetReadings()
@@ -253,49 +255,51 @@
 	return g.readings.list()
 }
 
-// sweepHolders forgets holders that have fallen silent; the caller holds the
-// lock.
-func (g *Gateway) sweepHolders(now time.Duration) {
-	if !g.sweeps.due(now) {
+// removeSilentHolders removes holders that have not reported within holderTimeout. The
+// caller must hold g.mu.
+func (g *Gateway) removeSilentHolders(now time.Duration) {
+	if !g.throttle.allow(now) {
 		return
 	}
 	for name, other := range g.holders {
-		if now-other.at > holderTimeout {
+		if now-other.reportedAt > holderTimeout {
 			delete(g.holders, name)
 			g.readings.put(name, nil)
 		}
 	}
 }
 
-func (g *Gateway) stampAfter(row *holderRow, sample uint64) *statev1.LeaseStamp {
-	if row.answered == 0 || sample != row.sample+1 {
+// stampOf returns the stamp of a new sample, nil unless this box has answered
+// the sample directly before it.
+func (g *Gateway) stampOf(row *holderState, sample uint64) *statev1.LeaseStamp {
+	if row.answeredAt == 0 || sample != row.sample+1 {
 		return nil
 	}
-	return &statev1.LeaseStamp{Clock: g.Self, Boot: g.Boot, At: row.answered.Milliseconds(), Days: row.days}
+	return &statev1.LeaseStamp{Clock: g.Self, Boot: g.Boot, At: row.answeredAt.Milliseconds(), Days: row.wallClocks}
 }
 
-// answer notes when a sample's first answer is sent.
-func (g *Gateway) answer(r *betweenv1.LeaseRequest) {
+// recordAnswer records when a sample is first answered.
+func (g *Gateway) recordAnswer(r *betweenv1.LeaseRequest) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	row := g.holders[r.GetHolder()]
-	if row != nil && row.sample == r.GetSample() && row.answered == 0 {
-		row.answered = g.Clock.Boot()
-		row.days = g.daysAt(row.answered)
+	if row != nil && row.sample == r.GetSample() && row.answeredAt == 0 {
+		row.answeredAt = g.Clock.Boot()
+		row.wallClocks = g.wallClocksAt(row.answeredAt)
 	}
 }
 
-// demandOf sums over the holders that report what they have free of an
-// organisation's budget and what they spend. Left is what a request may still
-// get: neither spent nor reserved, and not kept back for a holder that has
-// ended, which is never given back.
-func (g *Gateway) demandOf(s *state.State, b *state.Budget) (free, rate, left uint64) {
+// usageOf sums up the free tokens and the spending rates of an organisation's
+// budget over the holders that report. left is what requests may still reserve: the
+// tokens that are neither spent nor reserved, nor kept back for a holder whose
+// process has ended, as those are never returned.
+func (g *Gateway) usageOf(s *state.State, b *state.Budget) (free, rate, left uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	used := uint64(0)
 	for _, a := range b.Allotments {
 		spent := a.GetSpent()
-		if d := g.holders[a.GetHolder()].demandFor(b.Name); d != nil {
+		if d := g.holders[a.GetHolder()].reportFor(b.Name); d != nil {
 			rate += d.GetRate()
 			spent = max(spent, d.GetSpent()) + d.GetReserved()
 			if bound := max(a.GetReturned(), d.GetReturned()) + spent; a.GetAllotted() > bound {
@@ -309,9 +313,9 @@
 	return free, rate, b.Granted - min(b.Granted, used)
 }
 
-func (h *holderRow) demandFor(organisation string) *betweenv1.LeaseReport {
+func (h *holderState) reportFor(organisation string) *betweenv1.LeaseReport {
 	if h == nil {
 		return nil
 	}
-	return h.demands[organisation]
+	return h.reports[organisation]
 }
--- a/services/control/gateway_test.go
+++ b/services/control/gateway_test.go
@@ -20,10 +20,10 @@
 	"havenwinch.dev/havenwinch/modules/raft"
 )
 
-// directLog applies at once; it leads unless told otherwise.
+// directLog applies entries immediately. It is the leader unless isFollower is set.
 type directLog struct {
-	machine *Machine
-	follows bool
+	machine    *Machine
+	isFollower bool
 }
 
 func (d *directLog) Propose(_ context.Context, data []byte) (any, error) {
@@ -31,19 +31,20 @@
 }
 
 func (d *directLog) ReadBarrier() error {
-	if d.follows {
+	if d.isFollower {
 		return errors.WithStack(raft.ErrNotLeader{Leader: "elsewhere"})
 	}
 	return nil
 }
 
-// otherClocks are the clocks of the other control boxes.
+// otherClocks holds the clocks of the other control boxes by address. A missing box is
+// unreachable.
 type otherClocks map[string]*betweenv1.ReadClockResponse
 
 func (o otherClocks) read(_ context.Context, address string) (*betweenv1.ReadClockResponse, error) {
 	resp := o[address]
 	if resp == nil {
-		return nil, errors.New("out of reach")
+		return nil, errors.New("unreachable")
 	}
 	return resp, nil
 }
@@ -94,35 +95,35 @@
 	return row
 }
 
-// A dead process's lease comes back but for what it can have used between its
-// last report and the start of its box's next process.
+// The lease of a process that died is reclaimed, except for what the process can have
+// used between its last report and the start of the next process of its box.
 func TestReclaimIsBoundedByTheTimeSinceTheLastReport(t *testing.T) {
 	cases := map[string]struct {
-		// change happens between the last report and the next process's.
+		// change is applied between the last report and that of the next process.
 		change func(f *gatewayFixture)
-		// elapsed is the time that bounds the use; negative when nothing does.
+		// elapsed is the time that bounds the use, negative if there is no bound.
 		elapsed time.Duration
 	}{
-		"the same leader": {change: func(f *gatewayFixture) {}, elapsed: 2 * time.Second},
-		"machines lost power, days agree": {change: func(f *gatewayFixture) {
+		"same leader": {change: func(f *gatewayFixture) {}, elapsed: 2 * time.Second},
+		"machines rebooted, wall clocks agree": {change: func(f *gatewayFixture) {
 			f.Boot = "boot-2"
 			f.clocks["b"] = &betweenv1.ReadClockResponse{Boot: "x", Day: f.clock.Wall().UnixMilli()}
 			f.clocks["c"] = &betweenv1.ReadClockResponse{Boot: "x", Day: f.clock.Wall().UnixMilli() - 1500}
-		}, elapsed: 2*time.Second + dayMargin},
-		"machines lost power, one day jumped ahead": {change: func(f *gatewayFixture) {
+		}, elapsed: 2*time.Second + wallClockMargin},
+		"machines rebooted, one wall clock jumped ahead": {change: func(f *gatewayFixture) {
 			f.Boot = "boot-2"
 			f.clocks["b"] = &betweenv1.ReadClockResponse{Boot: "x", Day: f.clock.Wall().UnixMilli() + 3000}
-		}, elapsed: 5*time.Second + dayMargin},
-		"machines lost power, too few days": {change: func(f *gatewayFixture) {
+		}, elapsed: 5*time.Second + wallClockMargin},
+		"machines rebooted, too few wall clocks": {change: func(f *gatewayFixture) {
 			f.Boot = "boot-2"
 			delete(f.clocks, "b")
 			delete(f.clocks, "c")
 		}, elapsed: -1},
-		"another leader reads the clock of the first": {change: func(f *gatewayFixture) {
+		"new leader reads the clock of the former": {change: func(f *gatewayFixture) {
 			f.clocks["self"] = &betweenv1.ReadClockResponse{Boot: "boot-1", At: f.clock.Boot().Milliseconds(), Day: f.clock.Wall().UnixMilli()}
 			f.Self, f.Boot = "b", "boot-b"
 		}, elapsed: 2 * time.Second},
-		"another leader, the clock is gone": {change: func(f *gatewayFixture) {
+		"new leader, clock unreachable": {change: func(f *gatewayFixture) {
 			f.Self, f.Boot = "b", "boot-b"
 			delete(f.clocks, "c")
 		}, elapsed: -1},
@@ -133,8 +134,8 @@
 			f.clocks["b"] = &betweenv1.ReadClockResponse{Boot: "x", Day: f.clock.Wall().UnixMilli()}
 			f.clocks["c"] = &betweenv1.ReadClockResponse{Boot: "x", Day: f.clock.Wall().UnixMilli()}
 			for _, member := range []string{"self", "b", "c"} {
-				at, _ := f.dayOf(context.Background(), member)
-				f.putDay(member, dayReading{at: at, boot: f.clock.Boot()})
+				at, _ := f.wallClockOf(context.Background(), member)
+				f.setWallClock(member, wallClockReading{at: at, boot: f.clock.Boot()})
 			}
 			granted := f.report(t, "box@1", 1, 0, &betweenv1.LeaseReport{}).GetAllotted()
 			f.report(t, "box@1", 2, 0, &betweenv1.LeaseReport{Spent: 1000, Reserved: 500, Basis: granted})
@@ -149,14 +150,14 @@
 				want = free - min(free, lease.MostUsed(basis, c.elapsed))
 			}
 			if back != want {
-				t.Fatalf("%d tokens came back, want %d of %d", back, want, free)
+				t.Fatalf("%d tokens were reclaimed, want %d of %d", back, want, free)
 			}
 		})
 	}
 }
 
-// A repeated sample keeps the stamp of its first time: an answer that was lost
-// came after the sample was taken.
+// A repeated sample keeps the stamp of its first transmission: the answer to that one,
+// which was lost, was sent after the sample was taken.
 func TestARepeatedSampleKeepsItsStamp(t *testing.T) {
 	f := newGateway(t)
 	f.report(t, "box@1", 1, 0, &betweenv1.LeaseReport{})
@@ -172,24 +173,24 @@
 	}
 }
 
-func TestOnlyTheLeaderReadsAndLeases(t *testing.T) {
+func TestReadAndLeaseNeedTheLeader(t *testing.T) {
 	f := newGateway(t)
-	f.Log.(*directLog).follows = true
+	f.Log.(*directLog).isFollower = true
 	if _, err := f.Read(); !raft.IsErrNotLeader(err) {
 		t.Fatal(err)
 	}
 	if _, err := f.Lease(context.Background(), &betweenv1.LeaseRequest{Holder: "h"}); !raft.IsErrNotLeader(err) {
 		t.Fatal(err)
 	}
-	f.Log.(*directLog).follows = false
+	f.Log.(*directLog).isFollower = false
 	resp, err := f.Read()
 	if err != nil || resp.GetVersion() != 1 || string(resp.GetSource()) != "doc" {
 		t.Fatalf("%v, %v", resp, err)
 	}
 }
 
-// What is kept back for a process that has ended is never given back, so it is
-// not left for anybody.
+// Tokens that are kept back for a process that has ended are never returned, so they do
+// not count as left.
 func TestKeptBackTokensAreNotLeft(t *testing.T) {
 	f := newGateway(t)
 	granted := f.report(t, "box@1", 1, 0, &betweenv1.LeaseReport{}).GetAllotted()
@@ -201,6 +202,6 @@
 		t.Fatal("nothing was reclaimed")
 	}
 	if kept := row.GetAllotted() - row.GetReturned(); left != 1270000-kept {
-		t.Fatalf("%d tokens are left, want 1270000 less the %d kept back", left, kept)
+		t.Fatalf("%d tokens are left, want 1270000 minus the %d kept back", left, kept)
 	}
 }
--- a/services/control/limits.go
+++ b/services/control/limits.go
@@ -15,29 +15,29 @@
 )
 
 const (
-	// mostLimits bounds the limits of one answer: with 30 bytes each, 2 KB a second to
-	// a box at most, however many targets change theirs.
-	mostLimits = 64
-	// limitsSlack is how many places the order of changes may have beyond two for each
-	// limit before it is cleaned up.
-	limitsSlack = 64
+	// maxLimitsPerAnswer bounds the limits in one answer. At 30 bytes each a box receives at
+	// most 2 KB per second, however many targets change their limits.
+	maxLimitsPerAnswer = 64
+	// changesSlack is how many entries beyond two for each limit the list of changes
+	// may have before it is compacted.
+	changesSlack = 64
 )
 
-// limits is the leader's list of what targets said of the requests that they take, so
-// that a box knows it without asking each target. It is not replicated: boxes tell a
-// new leader what they heard themselves. That every box keeps to a limit that it heard
-// itself does not depend on it.
+// limits is the leader's list of the rate limits that targets announced, so that a
+// box knows them without a request to each target. It is not replicated: boxes report
+// to a new leader the limits that they received from targets. A box obeys a limit that
+// it received from a target independently of this list.
 type limits struct {
-	// list names the list, since revisions of two can't be compared.
-	list     string
-	rows     map[string]*limitRow
+	// listID identifies this listID, as revisions of different lists are not comparable.
+	listID   string
+	entries  map[string]*limitEntry
 	revision uint64
-	// order has the revisions in which rows changed, oldest first; places of rows that
-	// have changed since are passed over.
-	order []limitChange
+	// changes lists the changes, oldest first. A change is outdated, and skipped, if its
+	// row has a later revision.
+	changes []limitChange
 }
 
-type limitRow struct {
+type limitEntry struct {
 	target   string
 	born     int64
 	service  string
@@ -47,75 +47,77 @@
 
 type limitChange struct {
 	revision uint64
-	row      *limitRow
+	entry    *limitEntry
 }
 
-// take takes in what a target said to a box.
-func (l *limits) take(m *betweenv1.TargetLimit, now time.Duration) {
+// put adds a limit that a target announced to a box. It has no effect if the message
+// is invalid or the limit in force stays the same.
+func (l *limits) put(m *betweenv1.TargetLimit, now time.Duration) {
 	said, ok := rate.OfMessage(m, now)
 	if !ok {
 		return
 	}
-	if l.rows == nil {
-		l.rows = map[string]*limitRow{}
+	if l.entries == nil {
+		l.entries = map[string]*limitEntry{}
 	}
 	key := fmt.Sprint(m.GetTarget(), "@", m.GetBorn(), " ", m.GetService())
-	row := l.rows[key]
+	row := l.entries[key]
 	if row == nil {
-		row = &limitRow{target: m.GetTarget(), born: m.GetBorn(), service: m.GetService()}
+		row = &limitEntry{target: m.GetTarget(), born: m.GetBorn(), service: m.GetService()}
 	}
 	if !row.limit.Take(said) {
 		return
 	}
-	l.rows[key] = row
+	l.entries[key] = row
 	l.revision++
 	row.revision = l.revision
-	l.order = append(l.order, limitChange{revision: l.revision, row: row})
+	l.changes = append(l.changes, limitChange{revision: l.revision, entry: row})
 }
 
-// after returns limits that changed after a revision of a list, and the revision up to
-// which they are.
-func (l *limits) after(list string, has uint64, now time.Duration) (changed []*betweenv1.TargetLimit, revision uint64) {
-	if list != l.list {
+// changedAfter returns the limits that changed after revision has of the given list, at most
+// maxLimitsPerAnswer, and the revision up to which the receiver knows all changes then. It
+// returns the limits from the start if the list is not this one.
+func (l *limits) changedAfter(list string, has uint64, now time.Duration) (changed []*betweenv1.TargetLimit, revision uint64) {
+	if list != l.listID {
 		has = 0
 	}
-	first := sort.Search(len(l.order), func(i int) bool { return l.order[i].revision > has })
-	for _, c := range l.order[first:] {
-		if len(changed) == mostLimits {
+	first := sort.Search(len(l.changes), func(i int) bool { return l.changes[i].revision > has })
+	for _, c := range l.changes[first:] {
+		if len(changed) == maxLimitsPerAnswer {
 			return changed, has
 		}
 		has = c.revision
-		if c.row.revision == c.revision {
-			changed = append(changed, c.row.limit.Said.Message(c.row.target, c.row.born, c.row.service, now))
+		if c.entry.revision == c.revision {
+			changed = append(changed, c.entry.limit.Said.Message(c.entry.target, c.entry.born, c.entry.service, now))
 		}
 	}
 	return changed, has
 }
 
-// clean forgets changes that later ones have replaced, and targets that are not
-// registered, once there are many.
-func (l *limits) clean(registered func(target string, born int64, service string) bool) {
-	if len(l.order) <= 2*len(l.rows)+limitsSlack {
+// compact removes outdated changes and the limits of targets that are not registered,
+// once the list of changes has grown beyond its bound.
+func (l *limits) compact(registered func(target string, born int64, service string) bool) {
+	if len(l.changes) <= 2*len(l.entries)+changesSlack {
 		return
 	}
-	for key, row := range l.rows {
+	for key, row := range l.entries {
 		if !registered(row.target, row.born, row.service) {
-			delete(l.rows, key)
+			delete(l.entries, key)
 			row.revision = 0
 		}
 	}
-	kept := l.order[:0]
-	for _, c := range l.order {
-		if c.row.revision == c.revision {
+	kept := l.changes[:0]
+	for _, c := range l.changes {
+		if c.entry.revision == c.revision {
 			kept = append(kept, c)
 		}
 	}
-	l.order = kept
+	l.changes = kept
 }
 
-// noteLimits takes in what targets said to a box, and fills in what the box may not
-// know. Limits of targets that aren't registered are passed over.
-func (g *Gateway) noteLimits(r *betweenv1.LeaseRequest, resp *betweenv1.LeaseResponse) {
+// recordLimits records the limits that a box received from targets, and fills in the
+// ones that the box may not know. Limits of unregistered targets are ignored.
+func (g *Gateway) recordLimits(r *betweenv1.LeaseRequest, resp *betweenv1.LeaseResponse) {
 	g.Machine.Read(func(s *state.State) {
 		registered := func(target string, born int64, service string) bool {
 			row := s.Routing.Targets[target]
@@ -124,21 +126,21 @@
 		now := g.Clock.Boot()
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		if g.limits.list == "" {
-			g.limits.list = fmt.Sprint(g.Self, " ", g.Clock.Wall().UnixNano())
+		if g.limits.listID == "" {
+			g.limits.listID = fmt.Sprint(g.Self, " ", g.Clock.Wall().UnixNano())
 		}
 		before := g.limits.revision
 		for _, m := range r.GetLimits() {
 			if registered(m.GetTarget(), m.GetBorn(), m.GetService()) {
-				g.limits.take(m, now)
+				g.limits.put(m, now)
 			}
 		}
 		if g.limits.revision > before {
-			g.Logger.Info("limits of targets taken in", "box", r.GetBox(), "told", len(r.GetLimits()), "revision", g.limits.revision, "targets", len(g.limits.rows))
+			g.Logger.Info("target limits updated", "box", r.GetBox(), "told", len(r.GetLimits()), "revision", g.limits.revision, "targets", len(g.limits.entries))
 		}
-		g.limits.clean(registered)
-		resp.Limits, resp.LimitsRevision = g.limits.after(r.GetLimitsList(), r.GetLimitsRevision(), now)
-		resp.LimitsList = g.limits.list
+		g.limits.compact(registered)
+		resp.Limits, resp.LimitsRevision = g.limits.changedAfter(r.GetLimitsList(), r.GetLimitsRevision(), now)
+		resp.LimitsList = g.limits.listID
 	})
 	resp.FleetTime = g.Clock.Wall().UnixMilli()
 }
--- a/services/control/limits_bench_test.go
+++ b/services/control/limits_bench_test.go
@@ -15,9 +15,10 @@
 	statev1 "havenwinch.dev/havenwinch/gen/havenwinch/state/v1"
 )
 
-// What limits cost the leader for each report of a box, while every target changes its
-// limit with every answer and each box tells what it may: one limit in a report at 360
-// boxes. Bytes are those of limits in the report and in the answer.
+// BenchmarkLimits measures the leader's cost of limits for each report of a box, while
+// every target changes its limit with every answer and each box reports as many limits
+// as it may: one for each report with 360 boxes. The bytes are those of the limits in
+// the report and in the answer.
 func BenchmarkLimits(b *testing.B) {
 	for _, targets := range []int{10, 100, 2900} {
 		b.Run(fmt.Sprintf("%d targets", targets), func(b *testing.B) {
@@ -41,7 +42,7 @@
 				f.clock.Advance(time.Second / boxes)
 				told := &betweenv1.TargetLimit{Target: fmt.Sprintf("i-%010d", n%targets), Born: 5, Service: "s", PerSecond: float64(1 + n%7), SentAgo: 20, ReceivedAgo: 10}
 				resp := &betweenv1.LeaseResponse{}
-				f.noteLimits(&betweenv1.LeaseRequest{Box: "box", Limits: []*betweenv1.TargetLimit{told}, LimitsList: has[box].list, LimitsRevision: has[box].revision}, resp)
+				f.recordLimits(&betweenv1.LeaseRequest{Box: "box", Limits: []*betweenv1.TargetLimit{told}, LimitsList: has[box].list, LimitsRevision: has[box].revision}, resp)
 				has[box] = known{resp.GetLimitsList(), resp.GetLimitsRevision()}
 				sent += proto.Size(told)
 				for _, m := range resp.GetLimits() {
--- a/services/control/limits_test.go
+++ b/services/control/limits_test.go
@@ -22,8 +22,8 @@
 	f.put(t, &statev1.Entry{Kind: &statev1.Entry_PutTargets{PutTargets: put}})
 }
 
-// What one box heard of a limit the others get once, with its age; a box that knows
-// another leader's list gets all of this one.
+// A limit that one box reports is sent to each other box once, with its age. A box that
+// has the list of another leader is sent this whole list.
 func TestLimitsReachEveryBoxOnce(t *testing.T) {
 	f := newGateway(t)
 	f.registerTargets(t, 2)
@@ -51,13 +51,13 @@
 		told []*betweenv1.TargetLimit
 		want string
 	}{
-		{name: "first", told: []*betweenv1.TargetLimit{limit("t0", 5, 1, 90, 40)}, want: "[t0 1 false 90]"},
-		{name: "nothing new", want: "[]"},
-		{name: "the same again", told: []*betweenv1.TargetLimit{limit("t0", 5, 1, 20, 10)}, want: "[]"},
-		{name: "an older answer", told: []*betweenv1.TargetLimit{limit("t0", 5, 9, 4000, 3000)}, want: "[]"},
-		{name: "an earlier start", told: []*betweenv1.TargetLimit{limit("t1", 4, 1, 2, 1)}, want: "[]"},
-		{name: "not registered", told: []*betweenv1.TargetLimit{limit("t9", 5, 1, 2, 1)}, want: "[]"},
-		{name: "ended", told: []*betweenv1.TargetLimit{{Target: "t0", Born: 5, Service: "s", None: true, SentAgo: 2, ReceivedAgo: 1}}, want: "[t0 0 true 51]"},
+		{name: "first limit", told: []*betweenv1.TargetLimit{limit("t0", 5, 1, 90, 40)}, want: "[t0 1 false 90]"},
+		{name: "no report", want: "[]"},
+		{name: "same limit again", told: []*betweenv1.TargetLimit{limit("t0", 5, 1, 20, 10)}, want: "[]"},
+		{name: "older answer", told: []*betweenv1.TargetLimit{limit("t0", 5, 9, 4000, 3000)}, want: "[]"},
+		{name: "earlier start of the target", told: []*betweenv1.TargetLimit{limit("t1", 4, 1, 2, 1)}, want: "[]"},
+		{name: "unregistered target", told: []*betweenv1.TargetLimit{limit("t9", 5, 1, 2, 1)}, want: "[]"},
+		{name: "limit ended", told: []*betweenv1.TargetLimit{{Target: "t0", Born: 5, Service: "s", None: true, SentAgo: 2, ReceivedAgo: 1}}, want: "[t0 0 true 51]"},
 	}
 	for _, s := range steps {
 		f.clock.Advance(time.Second)
@@ -70,12 +70,12 @@
 		}
 	}
 	if got, _ := ask(known{list: "another leader's", revision: 99}); len(got) != 1 {
-		t.Fatalf("a box that knows another list got %v", got)
+		t.Fatalf("a box that has another leader's list was sent %v, want one limit", got)
 	}
 }
 
-// Many targets that change their limits all the time: an answer stays small, no limit
-// is passed over for good, and the list does not grow.
+// With many targets that change their limits all the time, answers stay small, every
+// limit is sent eventually, and the list of changes does not grow without bound.
 func TestLimitsOfManyTargets(t *testing.T) {
 	const targets, rounds = 300, 40
 	f := newGateway(t)
@@ -99,7 +99,7 @@
 		for i := range targets {
 			told = append(told, &betweenv1.TargetLimit{Target: fmt.Sprint("t", i), Born: 5, Service: "s", PerSecond: float64(1 + round), SentAgo: 20, ReceivedAgo: 10})
 		}
-		if n := ask(told); n > mostLimits {
+		if n := ask(told); n > maxLimitsPerAnswer {
 			t.Fatalf("%d limits in one answer", n)
 		}
 	}
@@ -107,10 +107,10 @@
 	}
 	for i := range targets {
 		if got := latest[fmt.Sprint("t", i)]; got != rounds {
-			t.Fatalf("target %d: %v is known, want %d", i, got, rounds)
+			t.Fatalf("target %d: the last limit sent is %v, want %d", i, got, rounds)
 		}
 	}
-	if n := len(f.limits.order); n > 2*targets+limitsSlack+targets {
-		t.Fatalf("%d places for %d limits", n, targets)
+	if n := len(f.limits.changes); n > 2*targets+changesSlack+targets {
+		t.Fatalf("the list has %d changes for %d limits", n, targets)
 	}
 }
--- a/services/control/machine.go
+++ b/services/control/machine.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package control is the work of a control box: it puts operators' commands
-// and keepers' reports through the replicated log, and answers queries.
+// Package control implements the service of a control box: it commits operators'
+// commands and the reports of keepers and entry boxes to the replicated log, and
+// answers queries.
 package control
 
 import (
@@ -14,15 +15,15 @@
 	"havenwinch.dev/havenwinch/models/state"
 )
 
-// Machine guards the replicated state and tells who waits when the
-// configuration has changed. It implements raft.Machine.
+// Machine guards the replicated state and notifies waiters of changes that are
+// sent to followers. It implements raft.Machine.
 type Machine struct {
 	mu      sync.RWMutex
 	state   *state.State
 	changed chan struct{}
 }
 
-// NewMachine returns an empty machine.
+// NewMachine returns a machine with an empty state.
 func NewMachine() *Machine {
 	return &Machine{state: state.New(), changed: make(chan struct{})}
 }
@@ -35,28 +36,28 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	before := m.marks()
+	before := m.revisions()
 	answer := m.state.Apply(&e)
-	if m.marks() != before {
-		m.announce()
+	if m.revisions() != before {
+		m.notify()
 	}
 	return answer
 }
 
-// marks are the numbers that rise with what followers are sent.
-type marks struct{ revision, routing, targets, quarantine uint64 }
+// revisions are the version numbers of everything that is sent to followers.
+type revisions struct{ revision, routing, targets, quarantine uint64 }
 
-func (m *Machine) marks() marks {
-	return marks{revision: m.state.Revision, routing: m.state.Routing.Version(), targets: m.state.Routing.TargetRevision, quarantine: m.state.Quarantine.Revision()}
+func (m *Machine) revisions() revisions {
+	return revisions{revision: m.state.Revision, routing: m.state.Routing.Version(), targets: m.state.Routing.TargetRevision, quarantine: m.state.Quarantine.Revision()}
 }
 
-func (m *Machine) announce() {
+func (m *Machine) notify() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
-// Capture implements raft.Machine. Rows are replaced and never changed, so
-// holding on to them is enough.
+// Capture implements raft.Machine. Rows are replaced and never modified in place,
+// so the returned function may encode them after later entries are applied.
 func (m *Machine) Capture() func() ([]byte, error) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -72,27 +73,27 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.state = s
-	m.announce()
+	m.notify()
 	return nil
 }
 
-// Reset empties the state before a disk is read anew.
+// Reset discards the state, before it is loaded from the disk again.
 func (m *Machine) Reset() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.state = state.New()
 }
 
-// Read lets a function look at the state; it must not keep anything that
-// later entries may change.
-func (m *Machine) Read(look func(s *state.State)) {
+// Read calls fn with the state, under the read lock. fn must not keep references to
+// anything that later entries may modify.
+func (m *Machine) Read(fn func(s *state.State)) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	look(m.state)
+	fn(m.state)
 }
 
 // Changed returns a channel that is closed at the next change of the
-// configuration.
+// configuration, the routing table, the targets or the quarantine list.
 func (m *Machine) Changed() <-chan struct{} {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
--- a/services/control/machine_test.go
+++ b/services/control/machine_test.go
@@ -21,10 +21,10 @@
 	m.Apply(data)
 }
 
-// TestCaptureWhileEntriesGoOn encodes a frozen state while it changes; the
-// race detector sees any row that is changed in place, and the encoded state
-// is the one of the moment it was frozen.
-func TestCaptureWhileEntriesGoOn(t *testing.T) {
+// A captured state is encoded while later entries are applied. The race detector
+// reports any row that is modified in place, and the encoded state must be the one of
+// the capture.
+func TestCaptureDuringChanges(t *testing.T) {
 	m := NewMachine()
 	send := func(n int, action *statev1.Command) {
 		action.Operator, action.Number, action.Digest = "op", uint64(n), fmt.Sprint(n)
@@ -61,6 +61,6 @@
 		t.Fatal(err)
 	}
 	if b := got.GetBudgets()[0]; b.GetGranted() != 1000 || b.GetAllotments()[0].GetSpent() != 5 || got.GetUsages()[0].GetSpent() != 5 {
-		t.Errorf("the frozen state moved on: %v %v", b, got.GetUsages())
+		t.Errorf("the captured state has changed: %v %v", b, got.GetUsages())
 	}
 }
--- a/services/control/member.go
+++ b/services/control/member.go
@@ -19,32 +19,34 @@
 )
 
 const (
-	// discoverPause is the time between questions to the seeds.
-	discoverPause = 200 * time.Millisecond
-	// failureCheck is the time between looks at the node's health, and
-	// reopenPause the time before a disk that failed is opened again.
-	failureCheck = 250 * time.Millisecond
-	reopenPause  = 500 * time.Millisecond
+	// discoverInterval is the delay between two attempts to get the members from the
+	// seeds.
+	discoverInterval = 200 * time.Millisecond
+	// healthCheckInterval is how often the node's health is checked, and reopenDelay the
+	// delay before a failed disk is opened again.
+	healthCheckInterval = 250 * time.Millisecond
+	reopenDelay         = 500 * time.Millisecond
 )
 
-// MemberOptions configure a Member. Names of members are their addresses.
+// MemberOptions configure a Member. The name of a member is its address.
 type MemberOptions struct {
 	Self  string
 	Seeds func() []string
-	// FirstStart says that the whole group starts for the first time.
+	// FirstStart means that the whole group starts for the first time, so that the
+	// seeds are its members.
 	FirstStart bool
 	Disk       disk.Disk
 	Transport  raft.Transport
 	Machine    *Machine
-	// Node makes the options of a node for the members given.
+	// Node returns the options of a node in a group of the given members.
 	Node   func(members []string) raft.NodeOptions
 	Logger *slog.Logger
 }
 
-// Member is a control box's part in the control group. It finds out from the
-// seeds who belongs to the group; a box that does not follows as a learner and
-// may take a silent member's place. After a failure of the disk it opens the
-// disk anew and takes part again.
+// Member runs the Raft node of a control box. It learns the members of the control
+// group from the seeds. A box that is not a member follows as a learner and may
+// replace a member that does not respond. After a disk failure the disk is reopened
+// and the node restarted.
 type Member struct {
 	opts MemberOptions
 
@@ -52,25 +54,25 @@
 	node *raft.Node
 }
 
-// NewMember returns a member; Run brings it into the group.
+// NewMember returns a member that joins the group once Run is called.
 func NewMember(opts MemberOptions) *Member { return &Member{opts: opts} }
 
-// Run takes part until the context ends.
+// Run runs the node, and restarts it after failures, until the context is done.
 func (m *Member) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		members, err := m.discover(ctx)
 		if err != nil {
 			return
 		}
-		if err := m.take(ctx, members); err != nil && ctx.Err() == nil {
+		if err := m.runNode(ctx, members); err != nil && ctx.Err() == nil {
 			m.opts.Logger.Error("dependency lost", "dependency", "disk", "reason", err.Error())
 		}
-		periodic.Sleep(ctx, reopenPause)
+		periodic.Sleep(ctx, reopenDelay)
 	}
 }
 
-// take runs a node until it fails or the context ends.
-func (m *Member) take(ctx context.Context, members []string) error {
+// runNode runs a node until it fails or the context is done.
+func (m *Member) runNode(ctx context.Context, members []string) error {
 	m.opts.Machine.Reset()
 	opts := m.opts.Node(members)
 	node, err := raft.NewNode(opts)
@@ -79,11 +81,11 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	m.set(node)
-	defer m.set(nil)
+	m.setNode(node)
+	defer m.setNode(nil)
 	m.opts.Logger.Info("dependency regained", "dependency", "disk", "members", members)
 	go m.checkHealth(ctx, node, cancel)
-	go m.keepPlace(ctx, node)
+	go m.maintainMembership(ctx, node)
 	if err := node.Run(ctx); err != nil {
 		return err
 	}
@@ -92,21 +94,21 @@
 
 func (m *Member) checkHealth(ctx context.Context, node *raft.Node, failed context.CancelFunc) {
 	for ctx.Err() == nil && node.Failed() == nil {
-		periodic.Sleep(ctx, failureCheck)
+		periodic.Sleep(ctx, healthCheckInterval)
 	}
 	failed()
 }
 
-// keepPlace asks to follow while the box is no member, and finds out when the
-// group goes on without it.
-func (m *Member) keepPlace(ctx context.Context, node *raft.Node) {
+// maintainMembership requests to join while the box is not a member, and detects when the
+// group has removed it.
+func (m *Member) maintainMembership(ctx context.Context, node *raft.Node) {
 	for ctx.Err() == nil {
 		periodic.Sleep(ctx, joinInterval)
 		switch {
 		case !node.Status().Member:
-			m.askToJoin(ctx, node)
-		case node.OutOfTouch() > leftAfter:
-			if resp := m.identify(ctx, m.others(node)); resp != nil {
+			m.requestJoin(ctx, node)
+		case node.OutOfTouch() > membershipCheckAfter:
+			if resp := m.identify(ctx, m.otherBoxes(node)); resp != nil {
 				node.Leave(resp)
 			}
 		}
@@ -114,24 +116,25 @@
 }
 
 const (
-	// joinInterval is the time between looks at the box's place in the group.
+	// joinInterval is how often the box's membership is checked.
 	joinInterval = 500 * time.Millisecond
-	// leftAfter is how long a member hears nothing before it asks whether it
-	// still is one.
-	leftAfter = 2 * time.Second
+	// membershipCheckAfter is how long a member may be out of contact with the group before
+	// it asks others whether it still is a member.
+	membershipCheckAfter = 2 * time.Second
 )
 
-// others returns all boxes that may know the group.
-func (m *Member) others(node *raft.Node) []string {
+// otherBoxes returns the known members and the seeds, without this box.
+func (m *Member) otherBoxes(node *raft.Node) []string {
 	list := append(node.Members(), m.opts.Seeds()...)
 	slices.Sort(list)
 	list = slices.Compact(list)
 	return slices.DeleteFunc(list, func(name string) bool { return name == m.opts.Self })
 }
 
-// askToJoin asks the leader, or whoever may know it.
-func (m *Member) askToJoin(ctx context.Context, node *raft.Node) {
-	order := m.others(node)
+// requestJoin sends a join request to the leader, if it is known, and then to the
+// other boxes until one accepts it.
+func (m *Member) requestJoin(ctx context.Context, node *raft.Node) {
+	order := m.otherBoxes(node)
 	if leader := node.Status().Leader; leader != "" {
 		order = append([]string{leader}, order...)
 	}
@@ -145,18 +148,19 @@
 	}
 }
 
-func (m *Member) set(node *raft.Node) {
+func (m *Member) setNode(node *raft.Node) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.node = node
 }
 
-// discover returns the group's members: those on this disk, those that a seed
-// knows, or the seeds themselves when none of them knows any.
+// discover returns the group's members: those stored on this disk, those that a
+// seed knows, or else the seeds themselves, if this box is one of them and either
+// the group starts for the first time or all other seeds answer that they know none.
 func (m *Member) discover(ctx context.Context) ([]string, error) {
 	stored, err := raft.StoredMembers(m.opts.Disk)
 	if err != nil {
-		m.opts.Logger.Error("the disk can't be read", "reason", err.Error())
+		m.opts.Logger.Error("failed to read the group members from the disk", "reason", err.Error())
 	}
 	if len(stored) > 0 {
 		return stored, nil
@@ -174,12 +178,13 @@
 		if seed && empty == len(seeds)-1 {
 			return seeds, nil
 		}
-		periodic.Sleep(ctx, discoverPause)
+		periodic.Sleep(ctx, discoverInterval)
 	}
 	return nil, ctx.Err()
 }
 
-// askSeeds returns the members that a seed knows, and how many know none.
+// askSeeds returns the members that the first seed with any knows, and how many of
+// the seeds asked answered that they know none.
 func (m *Member) askSeeds(ctx context.Context, seeds []string) (members []string, empty int) {
 	for _, seed := range seeds {
 		if seed == m.opts.Self {
@@ -200,10 +205,10 @@
 	return nil, empty
 }
 
-// identify returns the first answer of some boxes, nil when none answers.
+// identify asks boxes in turn and returns the first answer, or nil if there is none.
 func (m *Member) identify(ctx context.Context, names []string) *betweenv1.IdentifyResponse {
 	for _, name := range names {
-		ask, cancel := context.WithTimeout(ctx, 2*discoverPause)
+		ask, cancel := context.WithTimeout(ctx, 2*discoverInterval)
 		resp, err := m.opts.Transport.Identify(ask, name, &betweenv1.IdentifyRequest{})
 		cancel()
 		if err == nil {
@@ -213,7 +218,7 @@
 	return nil
 }
 
-// Node returns the node that takes part at present, or an error.
+// Node returns the running node, or raft.ErrNotLeader if there is none.
 func (m *Member) Node() (*raft.Node, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -223,7 +228,7 @@
 	return m.node, nil
 }
 
-// Members returns the addresses of the group's members, none while unknown.
+// Members returns the addresses of the group's members, nil while no node runs.
 func (m *Member) Members() []string {
 	node, err := m.Node()
 	if err != nil {
@@ -250,7 +255,8 @@
 	return node.ReadBarrier()
 }
 
-// OutOfStep returns how long ago this box was in step with the group.
+// OutOfStep returns how long ago this box was last known to be in sync with the
+// group: an hour while no node runs.
 func (m *Member) OutOfStep() time.Duration {
 	node, err := m.Node()
 	if err != nil {
--- a/services/control/quarantine.go
+++ b/services/control/quarantine.go
@@ -17,12 +17,12 @@
 	"havenwinch.dev/havenwinch/modules/periodic"
 )
 
-// quarantineInterval is the time between looks at whether a call's time in
-// quarantine is over; a look reads one row.
-const quarantineInterval = time.Second
+// releaseInterval is how often control checks for calls whose quarantine has
+// expired. A check reads one row.
+const releaseInterval = time.Second
 
-// Quarantine takes what boxes report of calls under which targets ended, and ends
-// what is due.
+// Quarantine commits boxes' reports of calls during which targets failed, and
+// releases quarantined calls that are due.
 type Quarantine struct {
 	Log     Log
 	Machine *Machine
@@ -30,7 +30,8 @@
 	Logger  *slog.Logger
 }
 
-// Report puts a report through the log, dated by this box, and logs the verdicts.
+// Report commits a report with this box's time, sets its number and logs the
+// verdicts.
 func (q *Quarantine) Report(ctx context.Context, r *statev1.ReportCalls) error {
 	r.At = q.Clock.Wall().UnixMilli()
 	answer, err := propose(ctx, q.Log, &statev1.Entry{Kind: &statev1.Entry_ReportCalls{ReportCalls: r}})
@@ -41,27 +42,29 @@
 	if !ok {
 		return errors.Errorf("the state answered a report of calls with %T: all control boxes must run one version", answer)
 	}
-	// Later reports may be counted already: a list that counts them counts this one.
+	// The number may include later reports already: a list that contains those
+	// contains this one, too.
 	q.Machine.Read(func(s *state.State) { r.Number = s.Quarantine.Reports() })
-	q.log(verdicts)
+	q.logVerdicts(verdicts)
 	return nil
 }
 
-// Watch ends what is due while this box leads, until the context ends.
+// Watch releases calls that are due while this box is the leader, until the
+// context is done.
 func (q *Quarantine) Watch(ctx context.Context) {
-	periodic.Run(ctx, quarantineInterval, func(ctx context.Context) {
-		if !q.due() || q.Log.ReadBarrier() != nil {
+	periodic.Run(ctx, releaseInterval, func(ctx context.Context) {
+		if !q.hasDue() || q.Log.ReadBarrier() != nil {
 			return
 		}
-		ctx, cancel := context.WithTimeout(ctx, quarantineInterval)
+		ctx, cancel := context.WithTimeout(ctx, releaseInterval)
 		defer cancel()
 		if err := q.Report(ctx, &statev1.ReportCalls{}); err != nil {
-			q.Logger.Warn("quarantined calls that are due were not ended", "reason", err.Error())
+			q.Logger.Warn("failed to release quarantined calls that are due", "reason", err.Error())
 		}
 	})
 }
 
-func (q *Quarantine) due() (due bool) {
+func (q *Quarantine) hasDue() (due bool) {
 	now := q.Clock.Wall().UnixMilli()
 	q.Machine.Read(func(s *state.State) {
 		at, any := s.Quarantine.Due()
@@ -70,7 +73,7 @@
 	return due
 }
 
-func (q *Quarantine) log(verdicts []quarantine.Verdict) {
+func (q *Quarantine) logVerdicts(verdicts []quarantine.Verdict) {
 	for _, v := range verdicts {
 		if v.Held {
 			q.Logger.Warn("call held back", "content", v.Content.String(), "targets_ended", v.Row.GetTargets(), "weight", v.Row.GetWeight(), "round", v.Row.GetRounds(), "until_unix_ms", v.Row.GetDue())
--- a/services/control/query.go
+++ b/services/control/query.go
@@ -16,10 +16,11 @@
 	"havenwinch.dev/havenwinch/models/state"
 )
 
-// digestShown is how many digits of a key's digest a query shows.
-const digestShown = 12
+// digestPrefixLen is how many digits of an access key's digest a query returns.
+const digestPrefixLen = 12
 
-// ErrUnknownColumn says that a query names a column that its table lacks.
+// ErrUnknownColumn is returned for a query with a column that its table does not
+// have.
 type ErrUnknownColumn struct {
 	Column  string
 	Columns []string
@@ -29,7 +30,7 @@
 	return "there is no column " + e.Column + ": use one of " + strings.Join(e.Columns, ", ")
 }
 
-// table is a query's answer in the making.
+// table is the intermediate result of a query.
 type table struct {
 	columns []string
 	rows    [][]string
@@ -39,7 +40,8 @@
 
 func number(n uint64) string { return strconv.FormatUint(n, 10) }
 
-// Query answers a query about everything that was committed before it.
+// Query evaluates a query on the state, which includes all entries that were
+// committed before the call.
 func (s *Service) Query(text string) (*betweenv1.QueryResponse, error) {
 	q, err := language.ParseQuery(text)
 	if err != nil {
@@ -64,7 +66,8 @@
 	return resp, nil
 }
 
-// tables makes the table of each subject of the language.
+// tables has the function that builds the table of each subject of the query
+// language.
 var tables = map[string]func(st *state.State) *table{
 	"organisations": organisations,
 	"groups":        groups,
@@ -119,7 +122,7 @@
 	return t
 }
 
-// PriorityName returns the word for a priority.
+// PriorityName returns "interactive" for that priority and "batch" for all others.
 func PriorityName(p statev1.Priority) string {
 	if p == statev1.Priority_PRIORITY_INTERACTIVE {
 		return "interactive"
@@ -134,7 +137,7 @@
 		for _, a := range b.Allotments {
 			reserved += a.GetReserved()
 		}
-		away := gone(st, b)
+		away := unrecoverable(st, b)
 		lost := away - min(away, spent)
 		remaining := b.Granted - spent
 		t.add(b.Name, number(b.Granted), number(spent), number(reserved), number(remaining-min(remaining, reserved+lost)), number(b.Unallotted()), number(lost))
@@ -218,12 +221,12 @@
 func keys(st *state.State) *table {
 	t := &table{columns: []string{"group", "digest"}}
 	for _, k := range state.Sorted(st.Keys) {
-		t.add(k.GetGroup(), k.GetDigest()[:digestShown])
+		t.add(k.GetGroup(), k.GetDigest()[:digestPrefixLen])
 	}
 	return t
 }
 
-// apply filters, orders and limits a table.
+// apply applies the filters, the order and the limit of a query to the table.
 func (t *table) apply(q *language.Query) error {
 	for _, f := range q.Filters {
 		at, err := t.column(f.Column)
@@ -243,7 +246,7 @@
 		if err != nil {
 			return err
 		}
-		sort.SliceStable(t.rows, func(i, j int) bool { return before(t.rows[i][at], t.rows[j][at]) })
+		sort.SliceStable(t.rows, func(i, j int) bool { return sortsBefore(t.rows[i][at], t.rows[j][at]) })
 	}
 	if q.Limit > 0 && q.Limit < len(t.rows) {
 		t.rows = t.rows[:q.Limit]
@@ -260,8 +263,9 @@
 	return 0, errors.WithStack(ErrUnknownColumn{Column: name, Columns: t.columns})
 }
 
-// before orders numbers from high to low and words from A to Z.
-func before(a, b string) bool {
+// sortsBefore reports whether cell a sorts before cell b: numbers in descending order,
+// all other cells in ascending order.
+func sortsBefore(a, b string) bool {
 	x, errX := strconv.ParseUint(a, 10, 64)
 	y, errY := strconv.ParseUint(b, 10, 64)
 	if errX == nil && errY == nil {
--- a/services/control/readings.go
+++ b/services/control/readings.go
@@ -5,15 +5,17 @@
 
 import betweenv1 "havenwinch.dev/havenwinch/gen/havenwinch/between/v1"
 
-// readings sums what targets read of the long prompts of all boxes, so that the
-// boxes agree on how many targets read apart. It is kept up to date report by
-// report and not replicated: a new leader learns it from the next reports.
+// readings sums up the prefill load that the long prompts of all boxes cause, by
+// service, so that the boxes agree on how many targets to set aside for long prompts.
+// It is updated with each report and not replicated: a new leader learns it from the
+// next reports.
 type readings struct {
 	byHolder map[string][]*betweenv1.ReadingLoad
 	total    map[string]uint64
 }
 
-// put replaces what a holder has reported; no loads forget it.
+// put replaces the loads that a holder has reported. Without loads it removes the
+// holder.
 func (r *readings) put(holder string, loads []*betweenv1.ReadingLoad) {
 	if r.total == nil {
 		r.byHolder, r.total = map[string][]*betweenv1.ReadingLoad{}, map[string]uint64{}
@@ -34,7 +36,7 @@
 	}
 }
 
-// list returns the sums.
+// list returns the total load of each service, in no particular order.
 func (r *readings) list() []*betweenv1.ReadingLoad {
 	list := make([]*betweenv1.ReadingLoad, 0, len(r.total))
 	for service, load := range r.total {
--- a/services/control/readings_test.go
+++ b/services/control/readings_test.go
@@ -13,8 +13,8 @@
 	betweenv1 "havenwinch.dev/havenwinch/gen/havenwinch/between/v1"
 )
 
-// The sum of what long prompts cost to read follows the reports, and forgets boxes
-// that leave or fall silent.
+// The total prefill load of long prompts follows the reports, and excludes boxes that
+// leave or stop reporting.
 func TestReadingsOfAllBoxes(t *testing.T) {
 	f := newGateway(t)
 	report := func(holder string, leaving bool, loads ...*betweenv1.ReadingLoad) map[string]uint64 {
@@ -37,12 +37,12 @@
 		do   func() map[string]uint64
 		want map[string]uint64
 	}{
-		{"the first box", func() map[string]uint64 { return report("a", false, load("s", 10)) }, map[string]uint64{"s": 10}},
-		{"another one", func() map[string]uint64 { return report("b", false, load("s", 5), load("u", 7)) }, map[string]uint64{"s": 15, "u": 7}},
-		{"the first reads less", func() map[string]uint64 { return report("a", false, load("s", 2)) }, map[string]uint64{"s": 7, "u": 7}},
-		{"it leaves", func() map[string]uint64 { return report("a", true, load("s", 2)) }, map[string]uint64{"s": 5, "u": 7}},
-		{"the other one is silent", func() map[string]uint64 {
-			f.clock.Advance(holderTimeout + sweepEvery + time.Second)
+		{"first box", func() map[string]uint64 { return report("a", false, load("s", 10)) }, map[string]uint64{"s": 10}},
+		{"second box", func() map[string]uint64 { return report("b", false, load("s", 5), load("u", 7)) }, map[string]uint64{"s": 15, "u": 7}},
+		{"load of the first box drops", func() map[string]uint64 { return report("a", false, load("s", 2)) }, map[string]uint64{"s": 7, "u": 7}},
+		{"first box leaves", func() map[string]uint64 { return report("a", true, load("s", 2)) }, map[string]uint64{"s": 5, "u": 7}},
+		{"second box stops reporting", func() map[string]uint64 {
+			f.clock.Advance(holderTimeout + sweepInterval + time.Second)
 			report("c", false)
 			return report("c", false, load("s", 1))
 		}, map[string]uint64{"s": 1}},
--- a/services/control/recall.go
+++ b/services/control/recall.go
@@ -11,7 +11,7 @@
 	statev1 "havenwinch.dev/havenwinch/gen/havenwinch/state/v1"
 )
 
-// recall asks one holder for free tokens of one budget.
+// recall is a request to one holder to return free tokens of one budget.
 type recall struct {
 	budget  string
 	holder  string
@@ -20,28 +20,32 @@
 	tokens  uint64
 }
 
-// recalls keeps two recalls of the same tokens from being under way at once.
-type recalls struct {
-	mu   sync.Mutex
-	busy map[string]bool
+// recallTracker tracks the recalls in flight, so that there is at most one for each budget
+// and holder.
+type recallTracker struct {
+	mu       sync.Mutex
+	inFlight map[string]bool
 }
 
-func (r *recalls) begin(key string) bool {
+// begin reports whether no recall with this key was in flight, and registers one if so.
+func (r *recallTracker) begin(key string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.busy[key] {
+	if r.inFlight[key] {
 		return false
 	}
-	r.busy[key] = true
+	r.inFlight[key] = true
 	return true
 }
 
-func (r *recalls) end(key string) {
+func (r *recallTracker) end(key string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.busy, key)
+	delete(r.inFlight, key)
 }
 
+// splitByNeed separates recalls for budgets on which requests of the reporting
+// holder wait from those that can be made in the background.
 func splitByNeed(list []recall, reports []*statev1.BudgetReport) (urgent, later []recall) {
 	needed := map[string]bool{}
 	for _, r := range reports {
@@ -57,17 +61,17 @@
 	return urgent, later
 }
 
-func (s *Service) recallLater(list []recall) {
+func (s *Service) recallInBackground(list []recall) {
 	for _, one := range list {
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), recallTimeout)
 			defer cancel()
-			s.recallOne(ctx, one)
+			s.recallFrom(ctx, one)
 		}()
 	}
 }
 
-func (s *Service) recallNow(ctx context.Context, list []recall) {
+func (s *Service) recallAndWait(ctx context.Context, list []recall) {
 	ctx, cancel := context.WithTimeout(ctx, recallTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
@@ -75,15 +79,15 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			s.recallOne(ctx, one)
+			s.recallFrom(ctx, one)
 		}()
 	}
 	wg.Wait()
 }
 
-// recallOne asks a holder and puts its answer through the log. A lost answer
-// is made up for by the holder's next report.
-func (s *Service) recallOne(ctx context.Context, one recall) {
+// recallFrom recalls tokens from a holder and commits its answer. If the answer is
+// lost, the holder's next report includes what it returned.
+func (s *Service) recallFrom(ctx context.Context, one recall) {
 	key := one.budget + "\x00" + one.holder
 	if !s.recalls.begin(key) {
 		return
@@ -91,7 +95,7 @@
 	defer s.recalls.end(key)
 	resp, err := s.opts.Holders.Recall(ctx, one.address, &betweenv1.RecallRequest{Budget: one.budget, Tokens: one.tokens, Asker: one.asker})
 	if err != nil {
-		s.opts.Logger.Debug("a recall got no answer", "holder", one.holder, "error", err)
+		s.opts.Logger.Debug("recall failed", "holder", one.holder, "error", err)
 		return
 	}
 	if resp.GetHolder() != one.holder {
@@ -99,6 +103,6 @@
 	}
 	m := &statev1.Sync{Holder: one.holder, Reports: []*statev1.BudgetReport{resp.GetReport()}}
 	if err := s.proposeSync(ctx, m); err != nil {
-		s.opts.Logger.Debug("a returned amount was not recorded yet", "holder", one.holder, "error", err)
+		s.opts.Logger.Debug("failed to record returned tokens; the holder's next report includes them", "holder", one.holder, "error", err)
 	}
 }
--- a/services/control/reclaim.go
+++ b/services/control/reclaim.go
@@ -13,56 +13,56 @@
 	"havenwinch.dev/havenwinch/models/state"
 )
 
-// clockTimeout bounds the question for another box's clock.
+// clockTimeout bounds the request for another box's clocks.
 const clockTimeout = 300 * time.Millisecond
 
-// reclaimBefore takes back what former processes of a reporting box can't have
-// used: they have ended, at the latest when the present one started. What they
-// may have used is bounded by the time between their last report and that end.
-// Without a clock that saw both, nothing is taken back; a later report tries
-// again.
-func (g *Gateway) reclaimBefore(ctx context.Context, r *betweenv1.LeaseRequest) {
+// reclaimPredecessors reclaims the tokens that earlier processes of a reporting box can't
+// have used. These processes ended at the latest when the current one started, so
+// what they may have used is bounded by the time between their last report and that
+// start. If no clock covers both, nothing is reclaimed and a later report tries again.
+func (g *Gateway) reclaimPredecessors(ctx context.Context, r *betweenv1.LeaseRequest) {
 	var former []*statev1.LeaseHolder
 	g.Machine.Read(func(s *state.State) { former = s.Routing.Predecessors(r.GetBox(), r.GetHolder()) })
 	for _, h := range former {
-		elapsed, known := g.elapsed(ctx, h.GetStamp(), time.Duration(r.GetAge())*time.Millisecond)
+		elapsed, known := g.maxElapsed(ctx, h.GetStamp(), time.Duration(r.GetAge())*time.Millisecond)
 		if !known {
-			g.unbounded(h)
+			g.logUnbounded(h)
 			continue
 		}
 		g.reclaim(ctx, h.GetHolder(), elapsed)
 	}
 }
 
-// unbounded logs once that nothing bounds what a holder can have used.
-func (g *Gateway) unbounded(h *statev1.LeaseHolder) {
+// logUnbounded logs, once for each holder, that its leases can't be reclaimed because
+// nothing bounds what it may have used.
+func (g *Gateway) logUnbounded(h *statev1.LeaseHolder) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.told[h.GetHolder()] {
+	if g.loggedHolders[h.GetHolder()] {
 		return
 	}
-	if g.told == nil || len(g.told) > maxTold {
-		g.told = map[string]bool{}
+	if g.loggedHolders == nil || len(g.loggedHolders) > maxLoggedHolders {
+		g.loggedHolders = map[string]bool{}
 	}
-	g.told[h.GetHolder()] = true
+	g.loggedHolders[h.GetHolder()] = true
 	g.Logger.Warn("lease not reclaimed", "holder", h.GetHolder(), "reason", "no clock saw its last report and its end", "clock", h.GetStamp().GetClock(), "clock_boot", h.GetStamp().GetBoot(), "at_ms", h.GetStamp().GetAt())
 }
 
-// maxTold bounds the holders that are remembered for the log.
-const maxTold = 1024
+// maxLoggedHolders bounds the number of holders that are remembered to log them only once.
+const maxLoggedHolders = 1024
 
-// elapsed returns the longest time that a holder can have run after a stamp,
-// if its box's next process has run for a time now. Either clock bounds it: the
-// boot clock that made the stamp, while its machine was not started anew, or
-// the times of day of most of the control group.
-func (g *Gateway) elapsed(ctx context.Context, stamp *statev1.LeaseStamp, age time.Duration) (time.Duration, bool) {
+// maxElapsed returns the longest time that a holder can have run after a stamp, if the
+// next process of its box has the given age. Either clock gives a bound: the boot
+// clock that made the stamp, unless its machine has rebooted, or the wall clocks of
+// the majority of the control group.
+func (g *Gateway) maxElapsed(ctx context.Context, stamp *statev1.LeaseStamp, age time.Duration) (time.Duration, bool) {
 	if stamp.GetClock() == "" {
 		return 0, false
 	}
-	now, booted := g.clockOf(ctx, stamp)
+	now, booted := g.bootClockOf(ctx, stamp)
 	since := now - time.Duration(stamp.GetAt())*time.Millisecond
 	booted = booted && since >= 0
-	days, dated := g.daysSince(ctx, stamp.GetDays())
+	days, dated := g.wallClockElapsed(ctx, stamp.GetDays())
 	switch {
 	case booted && dated:
 		since = min(since, days)
@@ -74,27 +74,27 @@
 	return max(0, since-age), true
 }
 
-// dayMargin is added to times that were read on times of day.
-const dayMargin = 250 * time.Millisecond
+// wallClockMargin is added to durations that were measured with wall clocks.
+const wallClockMargin = 250 * time.Millisecond
 
-// daysSince returns the longest time since a moment by the times of day of the
-// boxes that read it then. A box's time of day can jump, so most of them must
-// answer, and the longest counts: it is too short only if all that answer have
-// jumped back since.
-func (g *Gateway) daysSince(ctx context.Context, days []*statev1.DayTime) (time.Duration, bool) {
+// wallClockElapsed returns the longest time since a moment, by the wall clocks of the boxes
+// that were read then. A wall clock can jump, so the majority of the boxes must answer
+// and the longest duration is used: it is too short only if the clocks of all that
+// answer have jumped back since.
+func (g *Gateway) wallClockElapsed(ctx context.Context, days []*statev1.DayTime) (time.Duration, bool) {
 	longest, answers := time.Duration(0), 0
 	for _, day := range days {
-		now, known := g.dayOf(ctx, day.GetBox())
+		now, known := g.wallClockOf(ctx, day.GetBox())
 		if !known {
 			continue
 		}
 		answers++
 		longest = max(longest, time.Duration(now-day.GetAt())*time.Millisecond)
 	}
-	return longest + dayMargin, answers > 0 && 2*answers > len(days) && longest > 0
+	return longest + wallClockMargin, answers > 0 && 2*answers > len(days) && longest > 0
 }
 
-func (g *Gateway) dayOf(ctx context.Context, box string) (int64, bool) {
+func (g *Gateway) wallClockOf(ctx context.Context, box string) (int64, bool) {
 	if box == g.Self {
 		return g.Clock.Wall().UnixMilli(), true
 	}
@@ -104,8 +104,9 @@
 	return resp.GetDay(), err == nil
 }
 
-// clockOf reads the clock that made a stamp, if it still counts the same boot.
-func (g *Gateway) clockOf(ctx context.Context, stamp *statev1.LeaseStamp) (time.Duration, bool) {
+// bootClockOf reads the boot clock that made a stamp. It returns false if that box can't
+// be reached or has rebooted since.
+func (g *Gateway) bootClockOf(ctx context.Context, stamp *statev1.LeaseStamp) (time.Duration, bool) {
 	if stamp.GetClock() == g.Self {
 		return g.Clock.Boot(), stamp.GetBoot() == g.Boot
 	}
@@ -118,7 +119,8 @@
 	return time.Duration(resp.GetAt()) * time.Millisecond, true
 }
 
-// reclaim puts what a holder can't have used back into the budgets.
+// reclaim returns to the budgets what a holder can't have used in the time elapsed
+// after its last report.
 func (g *Gateway) reclaim(ctx context.Context, holder string, elapsed time.Duration) {
 	m := &statev1.ReclaimLease{Holder: holder}
 	held := uint64(0)
@@ -143,7 +145,7 @@
 	g.Logger.Info("lease reclaimed", "holder", holder, "organisations", len(m.GetChanges()), "tokens", total, "kept_back", held-total, "unreported_ms", elapsed.Milliseconds())
 }
 
-// ReadClock returns this box's clocks.
+// ReadClock returns this box's boot clock and wall clock, in milliseconds.
 func (g *Gateway) ReadClock() *betweenv1.ReadClockResponse {
 	return &betweenv1.ReadClockResponse{Boot: g.Boot, At: g.Clock.Boot().Milliseconds(), Day: g.Clock.Wall().UnixMilli()}
 }
