--- a/services/gateway/client.go
+++ b/services/gateway/client.go
@@ -20,14 +20,14 @@
 )
 
 const (
-	// callTimeout is how long one control box has for an answer.
+	// callTimeout bounds a call to one control box.
 	callTimeout = 900 * time.Millisecond
-	// roundPause is the time between two rounds over all boxes.
-	roundPause = 80 * time.Millisecond
+	// roundInterval is the delay after all boxes were tried, before they are tried again.
+	roundInterval = 80 * time.Millisecond
 )
 
-// Client asks the control boxes, the leader first where it is known. Names of
-// the control group's members are addresses.
+// Client calls the control boxes, the last known leader first. The names of the
+// control group's members are their addresses. It is safe for concurrent use.
 type Client struct {
 	// Dial returns a client of the box at an address.
 	Dial func(address string) betweenv1connect.GatewayServiceClient
@@ -39,26 +39,27 @@
 	clients map[string]betweenv1connect.GatewayServiceClient
 }
 
-// NewClient returns a client that starts from seeds.
+// NewClient returns a client that knows only the seeds at first.
 func NewClient(seeds []string, dial func(address string) betweenv1connect.GatewayServiceClient) *Client {
 	return &Client{Dial: dial, seeds: unique(seeds), clients: map[string]betweenv1connect.GatewayServiceClient{}}
 }
 
-// SetSeeds replaces the addresses to start from.
 func (c *Client) SetSeeds(seeds []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.seeds = unique(seeds)
 }
 
-// Addresses returns the boxes to ask, in order.
+// Addresses returns the addresses of the seeds and then of the known members,
+// without duplicates.
 func (c *Client) Addresses() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return unique(append(append([]string(nil), c.seeds...), c.members...))
 }
 
-// SetMembers takes in who is in the control group, beside the seeds.
+// SetMembers replaces the known members of the control group. An empty list has no
+// effect.
 func (c *Client) SetMembers(members []string) {
 	if len(members) == 0 {
 		return
@@ -68,7 +69,8 @@
 	c.members = members
 }
 
-func (c *Client) at(address string) betweenv1connect.GatewayServiceClient {
+// clientFor returns the client of the box at an address. It creates one on first use.
+func (c *Client) clientFor(address string) betweenv1connect.GatewayServiceClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	client := c.clients[address]
@@ -91,15 +93,15 @@
 	c.leader = address
 }
 
-// Submit puts a change through the log. Changes may be sent again: tables carry
-// versions and targets sequences.
+// Submit commits a change. A change may be submitted more than once, as tables have
+// versions and targets sequence numbers.
 func (c *Client) Submit(ctx context.Context, e *statev1.Entry) error {
-	_, err := ask(ctx, c, &betweenv1.SubmitRequest{Entry: e}, betweenv1connect.GatewayServiceClient.Submit)
+	_, err := callAny(ctx, c, &betweenv1.SubmitRequest{Entry: e}, betweenv1connect.GatewayServiceClient.Submit)
 	return err
 }
 
-// PutRouting puts a routing table through the log, packed: it goes to every
-// member of the control group.
+// PutRouting commits a routing table. It is compressed, as it is sent to every member
+// of the control group.
 func (c *Client) PutRouting(ctx context.Context, t *statev1.RoutingTable) error {
 	packed, err := pack.Pack(t)
 	if err != nil {
@@ -108,47 +110,51 @@
 	return c.Submit(ctx, &statev1.Entry{Kind: &statev1.Entry_PutRouting{PutRouting: &statev1.PutRouting{Packed: packed}}})
 }
 
-// ReportCalls tells control of calls under which targets ended, and numbers the report.
+// ReportCalls reports calls during which targets failed, and sets the report's
+// number from the answer.
 func (c *Client) ReportCalls(ctx context.Context, r *statev1.ReportCalls) error {
 	e := &statev1.Entry{Kind: &statev1.Entry_ReportCalls{ReportCalls: r}}
-	resp, err := ask(ctx, c, &betweenv1.SubmitRequest{Entry: e}, betweenv1connect.GatewayServiceClient.Submit)
+	resp, err := callAny(ctx, c, &betweenv1.SubmitRequest{Entry: e}, betweenv1connect.GatewayServiceClient.Submit)
 	r.Number = resp.GetReportNumber()
 	return err
 }
 
-// Lease reports and asks for tokens.
+// Lease sends a box's report and returns what it is granted.
 func (c *Client) Lease(ctx context.Context, r *betweenv1.LeaseRequest) (*betweenv1.LeaseResponse, error) {
-	return ask(ctx, c, r, betweenv1connect.GatewayServiceClient.Lease)
+	return callAny(ctx, c, r, betweenv1connect.GatewayServiceClient.Lease)
 }
 
-// ReadRouting returns the newest routing table for certain.
+// ReadRouting returns the newest committed routing table. The read is linearizable.
 func (c *Client) ReadRouting(ctx context.Context) (*betweenv1.ReadRoutingResponse, error) {
-	return ask(ctx, c, &betweenv1.ReadRoutingRequest{}, betweenv1connect.GatewayServiceClient.ReadRouting)
+	return callAny(ctx, c, &betweenv1.ReadRoutingRequest{}, betweenv1connect.GatewayServiceClient.ReadRouting)
 }
 
-// ReadClock returns the boot clock of the box at an address.
+// ReadClock returns the clocks of the box at an address.
 func (c *Client) ReadClock(ctx context.Context, address string) (*betweenv1.ReadClockResponse, error) {
-	return askOne(ctx, c.at(address), &betweenv1.ReadClockRequest{}, betweenv1connect.GatewayServiceClient.ReadClock)
+	return callOne(ctx, c.clientFor(address), &betweenv1.ReadClockRequest{}, betweenv1connect.GatewayServiceClient.ReadClock)
 }
 
+// method is a method of the generated client of the gateway service.
 type method[Q, A any] func(betweenv1connect.GatewayServiceClient, context.Context, *connect.Request[Q]) (*connect.Response[A], error)
 
-// ask goes round after round over the boxes until one answers, refuses for
-// good, or the context ends.
-func ask[Q, A any](ctx context.Context, c *Client, r *Q, m method[Q, A]) (*A, error) {
+// callAny tries all boxes repeatedly until one answers without an error or the context
+// is done.
+func callAny[Q, A any](ctx context.Context, c *Client, r *Q, m method[Q, A]) (*A, error) {
 	for {
-		resp, err := askRound(ctx, c, r, m)
+		resp, err := tryAll(ctx, c, r, m)
 		if err == nil {
 			return resp, nil
 		}
-		periodic.Sleep(ctx, roundPause)
+		periodic.Sleep(ctx, roundInterval)
 		if ctx.Err() != nil {
 			return nil, err
 		}
 	}
 }
 
-func askRound[Q, A any](ctx context.Context, c *Client, r *Q, m method[Q, A]) (*A, error) {
+// tryAll tries each box once: the last known leader first, and a leader that an
+// error names next.
+func tryAll[Q, A any](ctx context.Context, c *Client, r *Q, m method[Q, A]) (*A, error) {
 	order := unique(append([]string{c.lastLeader()}, c.Addresses()...))
 	var last error = errors.New("no control box is known: name some in seeds")
 	asked := map[string]bool{}
@@ -159,7 +165,7 @@
 			continue
 		}
 		asked[address] = true
-		resp, err := askOne(ctx, c.at(address), r, m)
+		resp, err := callOne(ctx, c.clientFor(address), r, m)
 		if err == nil {
 			c.setLeader(address)
 			return resp, nil
@@ -172,7 +178,7 @@
 	return nil, last
 }
 
-func askOne[Q, A any](ctx context.Context, client betweenv1connect.GatewayServiceClient, r *Q, m method[Q, A]) (*A, error) {
+func callOne[Q, A any](ctx context.Context, client betweenv1connect.GatewayServiceClient, r *Q, m method[Q, A]) (*A, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	resp, err := m(client, ctx, connect.NewRequest(r))
@@ -182,7 +188,7 @@
 	return resp.Msg, nil
 }
 
-// leaderOf returns the leader that an error names, if any.
+// leaderOf returns the address of the leader that an error names, or "".
 func leaderOf(err error) string {
 	var failure *connect.Error
 	if errors.As(err, &failure) {
--- a/services/gateway/draws.go
+++ b/services/gateway/draws.go
@@ -13,21 +13,22 @@
 )
 
 const (
-	// lateDraw is how long a draw is remembered that was ended before it came.
-	lateDraw = 10 * time.Second
-	// longestDraw bounds the lifetime of a draw.
-	longestDraw = 10 * time.Minute
+	// settledDrawTTL is how long the settlement of an unknown draw is remembered, so that
+	// the draw is refused if it arrives later.
+	settledDrawTTL = 10 * time.Second
+	// maxDrawLifetime bounds the lifetime of a draw.
+	maxDrawLifetime = 10 * time.Minute
 )
 
-// Draw sets tokens of this box's lease aside for a request of another box. What
-// nobody settles within the draw's lifetime counts as spent.
+// Draw reserves tokens of this box's lease for a request of another box. A draw that
+// is not settled within its lifetime counts as spent.
 func (l *Leases) Draw(ctx context.Context, r *betweenv1.DrawRequest) *betweenv1.DrawResponse {
-	if !l.takesDraw(r.GetId()) {
+	if !l.acceptsDraw(r.GetId()) {
 		return &betweenv1.DrawResponse{Outcome: betweenv1.DrawOutcome_DRAW_OUTCOME_SHORT, Age: -1}
 	}
 	outcome, status := l.Reserve(ctx, r.GetOrganisation(), r.GetTokens(), time.Duration(r.GetWait())*time.Millisecond)
 	if outcome == Reserved {
-		l.hold(r)
+		l.recordDraw(r)
 	} else if r.GetWait() > 0 {
 		l.Logger.Info("draw refused", "request", timeline.RequestOf(ctx), "draw", r.GetId(), "organisation", r.GetOrganisation(), "tokens", r.GetTokens(), "outcome", outcome.String(),
 			"lease_free", status.Free, "budget_left", status.Left, "budget_unallotted", status.Unallotted, "lease_age_ms", status.Age)
@@ -41,43 +42,44 @@
 	Short:     betweenv1.DrawOutcome_DRAW_OUTCOME_SHORT,
 }
 
-// takesDraw tells whether a draw is new; a box that stops takes none.
-func (l *Leases) takesDraw(id string) bool {
+// acceptsDraw reports whether a draw is new and this box is not stopping.
+func (l *Leases) acceptsDraw(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return !l.leaving && !l.draws.Known(id)
 }
 
-// hold remembers a draw whose tokens are set aside.
-func (l *Leases) hold(r *betweenv1.DrawRequest) {
+// recordDraw records a draw whose tokens have been reserved.
+func (l *Leases) recordDraw(r *betweenv1.DrawRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.draws.Known(r.GetId()) {
-		// It was given up while it waited.
+		// The drawing box has settled it while it waited for tokens.
 		l.table.Settle(r.GetOrganisation(), r.GetTokens(), 0)
 		return
 	}
-	lifetime := min(longestDraw, time.Duration(r.GetLifetime())*time.Millisecond)
+	lifetime := min(maxDrawLifetime, time.Duration(r.GetLifetime())*time.Millisecond)
 	l.draws.Put(lease.Draw{ID: r.GetId(), Organisation: r.GetOrganisation(), Tokens: r.GetTokens(), Expires: l.Clock.Boot() + lifetime})
 }
 
-// SettleDraws ends draws with what was spent of them.
+// SettleDraws settles draws with the tokens that were spent of each. It remembers
+// unknown ids, so that a draw that arrives later is refused.
 func (l *Leases) SettleDraws(r *betweenv1.SettleDrawsRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.Clock.Boot()
 	for _, s := range r.GetSettlements() {
-		if row, open := l.draws.End(s.GetId(), now+lateDraw); open {
+		if row, open := l.draws.End(s.GetId(), now+settledDrawTTL); open {
 			l.table.Settle(row.Organisation, row.Tokens, s.GetSpent())
 		}
 	}
 }
 
-// expireDraws counts draws as spent that nobody settled; the caller holds the
-// lock.
+// expireDraws counts draws as spent that were not settled within their lifetime. The
+// caller must hold l.mu.
 func (l *Leases) expireDraws(now time.Duration) {
 	for _, row := range l.draws.Expire(now) {
 		l.table.Settle(row.Organisation, row.Tokens, row.Tokens)
-		l.Logger.Warn("draw expired", "draw", row.ID, "organisation", row.Organisation, "tokens", row.Tokens, "reason", "nobody settled it, so it counts as spent")
+		l.Logger.Warn("draw expired", "draw", row.ID, "organisation", row.Organisation, "tokens", row.Tokens, "reason", "not settled within its lifetime, counted as spent")
 	}
 }
--- a/services/gateway/follow.go
+++ b/services/gateway/follow.go
@@ -17,26 +17,27 @@
 )
 
 const (
-	// aliveInterval is the time between messages without news.
-	aliveInterval = 400 * time.Millisecond
-	// gatherTime is how long changes are gathered into one message.
-	gatherTime = 60 * time.Millisecond
-	// silenceLimit is how long a control box may be silent before another one
+	// keepaliveInterval is the time between keepalive messages.
+	keepaliveInterval = 400 * time.Millisecond
+	// batchDelay is how long changes are collected into one message.
+	batchDelay = 60 * time.Millisecond
+	// silenceTimeout is how long a control box may send nothing before another one
 	// is followed.
-	silenceLimit = 1100 * time.Millisecond
-	// outOfStep is how long ago the followed box may have been in step with
-	// the control group.
-	outOfStep = 900 * time.Millisecond
-	// followPause is the time between tries, firstPause that of a box that has no
-	// table yet: after a restart of everything control is there within a second.
-	followPause = 150 * time.Millisecond
-	firstPause  = 50 * time.Millisecond
+	silenceTimeout = 1100 * time.Millisecond
+	// maxSyncAge is how long ago the followed box may have been in sync with the
+	// control group.
+	maxSyncAge = 900 * time.Millisecond
+	// retryDelay is the delay between attempts to follow. firstRetryDelay is the one of a
+	// box without a routing table: after a restart of the whole fleet control is
+	// available within a second.
+	retryDelay      = 150 * time.Millisecond
+	firstRetryDelay = 50 * time.Millisecond
 )
 
-// Serve streams a source to a follower until the context ends.
+// Serve streams a source to a follower until the context is done or send fails.
 func Serve(ctx context.Context, source Source, r *betweenv1.FollowRequest, send func(*betweenv1.FollowResponse) error) error {
 	has := Position{Version: r.GetRoutingVersion(), Targets: r.GetTargetRevision(), Quarantine: r.GetQuarantineRevision()}
-	alive := time.NewTicker(aliveInterval)
+	alive := time.NewTicker(keepaliveInterval)
 	defer alive.Stop()
 	for {
 		changed := source.Changed()
@@ -53,25 +54,25 @@
 			return nil
 		case <-alive.C:
 		case <-changed:
-			periodic.Sleep(ctx, gatherTime)
+			periodic.Sleep(ctx, batchDelay)
 		}
 	}
 }
 
-// mostNews is how many targets of one message are logged one by one.
-const mostNews = 12
+// maxLoggedTargets bounds how many targets of one message are logged individually.
+const maxLoggedTargets = 12
 
-// news returns the targets of a message that are logged one by one: none of a
-// whole table, and few of many.
-func news(r *betweenv1.FollowResponse) []*statev1.RegisteredTarget {
+// targetsToLog returns the targets of a message to log individually: at most
+// maxLoggedTargets, and none if the message has all targets.
+func targetsToLog(r *betweenv1.FollowResponse) []*statev1.RegisteredTarget {
 	if r.GetAllTargets() {
 		return nil
 	}
-	return r.GetTargets()[:min(mostNews, len(r.GetTargets()))]
+	return r.GetTargets()[:min(maxLoggedTargets, len(r.GetTargets()))]
 }
 
-// sentVersion is the version of the table that a follower has after a message;
-// zero when it brings none. One in short is of the version that the source had.
+// sentVersion returns the version of the routing table that a message brings: as a
+// delta, whole or compressed. It is zero if there is none.
 func sentVersion(r *betweenv1.FollowResponse) uint64 {
 	if r.GetDelta() != nil {
 		return r.GetDelta().GetChanged().GetVersion()
@@ -79,24 +80,25 @@
 	return max(r.GetRouting().GetVersion(), r.GetPackedVersion())
 }
 
-// Follower keeps a store up to date from whichever control box is in step.
+// Follower keeps a store up to date from any control box that is in sync with the
+// control group.
 type Follower struct {
 	Box    string
 	Store  *Store
 	Client *Client
 	Logger *slog.Logger
-	// Taken is called after each message with what was new.
+	// Taken, if not nil, is called after each message with what it changed.
 	Taken func(newTable, newTargets bool)
 
 	connected string
 }
 
-// Run follows until the context ends.
+// Run follows one control box after the other until the context is done.
 func (f *Follower) Run(ctx context.Context) {
 	for next := 0; ctx.Err() == nil; next++ {
 		addresses := f.Client.Addresses()
 		if len(addresses) == 0 {
-			periodic.Sleep(ctx, followPause)
+			periodic.Sleep(ctx, retryDelay)
 			continue
 		}
 		address := addresses[next%len(addresses)]
@@ -108,52 +110,52 @@
 			f.Logger.Warn("dependency lost", "dependency", "control", "address", address, "reason", err.Error(), "in_step_ms_ago", f.Store.Confirmed().Milliseconds())
 			f.connected = ""
 		}
-		periodic.Sleep(ctx, f.pause())
+		periodic.Sleep(ctx, f.delay())
 	}
 }
 
-// pause returns the time until the next try.
-func (f *Follower) pause() time.Duration {
+// delay returns the delay before the next attempt.
+func (f *Follower) delay() time.Duration {
 	if f.Store.Index() == nil {
-		return firstPause
+		return firstRetryDelay
 	}
-	return followPause
+	return retryDelay
 }
 
-// follow reads one control box's stream until it ends, falls silent or falls
-// out of step.
+// follow reads one control box's stream until it ends, sends nothing for silenceTimeout
+// or the box is out of sync. It always returns an error.
 func (f *Follower) follow(ctx context.Context, address string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silence := time.AfterFunc(silenceLimit, cancel)
+	silence := time.AfterFunc(silenceTimeout, cancel)
 	defer silence.Stop()
 	has := f.Store.Position()
-	stream, err := f.Client.at(address).Follow(ctx, connect.NewRequest(&betweenv1.FollowRequest{Box: f.Box, RoutingVersion: has.Version, TargetRevision: has.Targets, QuarantineRevision: has.Quarantine}))
+	stream, err := f.Client.clientFor(address).Follow(ctx, connect.NewRequest(&betweenv1.FollowRequest{Box: f.Box, RoutingVersion: has.Version, TargetRevision: has.Targets, QuarantineRevision: has.Quarantine}))
 	if err != nil {
 		return errors.WithStack(err)
 	}
 	defer stream.Close()
 	for stream.Receive() {
-		silence.Reset(silenceLimit)
+		silence.Reset(silenceTimeout)
 		message := stream.Msg()
-		if time.Duration(message.GetConfirmed())*time.Millisecond > outOfStep {
-			return errors.Errorf("it was in step with the control group %d ms ago", message.GetConfirmed())
+		if time.Duration(message.GetConfirmed())*time.Millisecond > maxSyncAge {
+			return errors.Errorf("last in sync with the control group %d ms ago", message.GetConfirmed())
 		}
 		if f.connected != address {
 			f.connected = address
 			f.Logger.Info("dependency regained", "dependency", "control", "address", address)
 		}
-		if err := f.take(message); err != nil {
+		if err := f.apply(message); err != nil {
 			return err
 		}
 	}
 	if stream.Err() == nil {
-		return errors.New("it ended the stream")
+		return errors.New("the control box ended the stream")
 	}
 	return errors.WithStack(stream.Err())
 }
 
-func (f *Follower) take(r *betweenv1.FollowResponse) error {
+func (f *Follower) apply(r *betweenv1.FollowResponse) error {
 	newTable, newTargets, err := f.Store.Take(r)
 	if err != nil {
 		return err
@@ -165,7 +167,7 @@
 	}
 	if newTargets {
 		f.Logger.Info("targets known", "revision", r.GetTargetRevision(), "whole", r.GetAllTargets(), "rows", len(r.GetTargets()))
-		for _, t := range news(r) {
+		for _, t := range targetsToLog(r) {
 			f.Logger.Info("target seen", "target", t.GetId(), "service", t.GetService(), "address", t.GetAddress(), "state", t.GetState().String(), "revision", t.GetRevision())
 		}
 	}
--- a/services/gateway/gateway_test.go
+++ b/services/gateway/gateway_test.go
@@ -38,7 +38,8 @@
 
 const ready, gone = statev1.RegisteredTarget_STATE_READY, statev1.RegisteredTarget_STATE_GONE
 
-// A box that follows another control box, which may lag, never goes back.
+// A store never goes back to older versions when the box follows another control box,
+// which may lag.
 func TestStoreMovesForwardOnly(t *testing.T) {
 	s := NewStore(clock.NewFake())
 	steps := []struct {
@@ -63,7 +64,7 @@
 	}
 }
 
-// A relay serves what it has, without the documents.
+// A relay serves its copy, which lacks the documents that tables were compiled from.
 func TestSourcesAgree(t *testing.T) {
 	machine := control.NewMachine()
 	c := clock.NewFake()
@@ -88,12 +89,13 @@
 		t.Fatalf("the relay served %v", again.Index().Table)
 	}
 	if resp := relay.After(Position{Version: 2, Targets: 2}); resp.GetRouting() != nil || len(resp.GetTargets()) != 0 {
-		t.Fatalf("news for a follower that has everything: %v", resp)
+		t.Fatalf("changes for a follower that is up to date: %v", resp)
 	}
 }
 
-// box is a control box that answers leases or names the leader.
-type box struct {
+// controlBox is a fake control box. It answers lease requests, or names the leader if answer
+// is nil.
+type controlBox struct {
 	betweenv1connect.GatewayServiceClient
 	mu     sync.Mutex
 	leader string
@@ -101,7 +103,7 @@
 	asked  int
 }
 
-func (b *box) Lease(_ context.Context, r *connect.Request[betweenv1.LeaseRequest]) (*connect.Response[betweenv1.LeaseResponse], error) {
+func (b *controlBox) Lease(_ context.Context, r *connect.Request[betweenv1.LeaseRequest]) (*connect.Response[betweenv1.LeaseResponse], error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.asked++
@@ -114,12 +116,12 @@
 	return connect.NewResponse(resp), err
 }
 
-func clientOver(boxes map[string]*box, seeds ...string) *Client {
+func clientOver(boxes map[string]*controlBox, seeds ...string) *Client {
 	return NewClient(seeds, func(address string) betweenv1connect.GatewayServiceClient { return boxes[address] })
 }
 
-func TestClientFollowsToTheLeader(t *testing.T) {
-	boxes := map[string]*box{
+func TestClientFindsTheLeader(t *testing.T) {
+	boxes := map[string]*controlBox{
 		"a": {leader: "c"},
 		"b": {},
 		"c": {answer: func(*betweenv1.LeaseRequest) (*betweenv1.LeaseResponse, error) {
@@ -138,14 +140,14 @@
 	}
 }
 
-func newLeases(b *box) *Leases {
+func newLeases(b *controlBox) *Leases {
 	store := NewStore(clock.System{})
 	store.Take(&betweenv1.FollowResponse{Routing: &statev1.RoutingTable{Version: 1, Payers: []*statev1.Payer{{Organisation: "o", Limited: true, Prepaid: 100}, {Organisation: "free"}}}})
-	return NewLeases(LeasesOptions{Box: "box", Process: "p1", Store: store, Client: clientOver(map[string]*box{"a": b}, "a"), Clock: clock.System{}, Logger: logging.Discard()})
+	return NewLeases(LeasesOptions{Box: "box", Process: "p1", Store: store, Client: clientOver(map[string]*controlBox{"a": b}, "a"), Clock: clock.System{}, Logger: logging.Discard()})
 }
 
-// grants answers as a control with one budget that only this box draws on.
-func grants(allotted uint64) func(r *betweenv1.LeaseRequest) (*betweenv1.LeaseResponse, error) {
+// grantAll answers like control does if only this box uses the budget.
+func grantAll(allotted uint64) func(r *betweenv1.LeaseRequest) (*betweenv1.LeaseResponse, error) {
 	return func(r *betweenv1.LeaseRequest) (*betweenv1.LeaseResponse, error) {
 		resp := &betweenv1.LeaseResponse{Holders: 1}
 		for _, report := range r.GetReports() {
@@ -157,7 +159,7 @@
 }
 
 func TestReserveWaitsForControl(t *testing.T) {
-	b := &box{answer: grants(1000)}
+	b := &controlBox{answer: grantAll(1000)}
 	l := newLeases(b)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -166,33 +168,33 @@
 		t.Fatalf("outcome %d, %+v", got, status)
 	}
 	if got, _ := l.Reserve(ctx, "o", 300, time.Minute); got != Exhausted {
-		t.Fatalf("outcome %d for more than is left", got)
+		t.Fatalf("outcome %d for more tokens than are left", got)
 	}
 	l.Settle("o", 800, 100)
 	if got, _ := l.Reserve(ctx, "o", 800, time.Minute); got != Reserved {
-		t.Fatalf("outcome %d after the first was settled", got)
+		t.Fatalf("outcome %d after the first reservation was settled", got)
 	}
 }
 
 func TestReserveGivesUpWithoutControl(t *testing.T) {
-	l := newLeases(&box{})
+	l := newLeases(&controlBox{})
 	if got, status := l.Reserve(context.Background(), "o", 10, 0); got != Short || status.Age != -1 {
 		t.Fatalf("outcome %d, %+v", got, status)
 	}
 }
 
-// A sample whose answer is lost is sent again with the same counters, whatever
-// was reserved since.
+// A sample whose answer is lost is sent again with the same counters, even if more was
+// reserved since.
 func TestASampleIsRepeatedUntilItIsAnswered(t *testing.T) {
 	var seen []*betweenv1.LeaseRequest
 	lose := false
-	b := &box{}
+	b := &controlBox{}
 	b.answer = func(r *betweenv1.LeaseRequest) (*betweenv1.LeaseResponse, error) {
 		seen = append(seen, r)
 		if lose {
 			return nil, connect.NewError(connect.CodeUnavailable, errors.New("lost"))
 		}
-		return grants(100000)(r)
+		return grantAll(100000)(r)
 	}
 	l := newLeases(b)
 	l.report(context.Background())
@@ -201,9 +203,9 @@
 	cancel()
 	r := l.request()
 	_, err := l.Client.Lease(ctx, r)
-	l.take(nil, err)
+	l.handleAnswer(nil, err)
 	if got, _ := l.Reserve(context.Background(), "o", 500, 0); got != Reserved {
-		t.Fatal("a small reservation waits for control")
+		t.Fatal("a small reservation waited for control")
 	}
 	lose = false
 	l.report(context.Background())
@@ -216,16 +218,16 @@
 		t.Fatalf("the next sample is %v", last[1])
 	}
 	if len(last[1].GetReports()) != 1 {
-		t.Fatalf("reports of %d organisations, one has a budget", len(last[1].GetReports()))
+		t.Fatalf("reports of %d organisations, want only the one with a budget", len(last[1].GetReports()))
 	}
 }
 
-func TestReturnGivesEverythingBack(t *testing.T) {
+func TestLeavingReturnsAllTokens(t *testing.T) {
 	var last *betweenv1.LeaseRequest
-	b := &box{}
+	b := &controlBox{}
 	b.answer = func(r *betweenv1.LeaseRequest) (*betweenv1.LeaseResponse, error) {
 		last = r
-		return grants(1000)(r)
+		return grantAll(1000)(r)
 	}
 	l := newLeases(b)
 	l.report(context.Background())
@@ -245,21 +247,21 @@
 	}
 }
 
-func TestRegistryPutsOnlyNews(t *testing.T) {
+func TestRegistryCommitsOnlyChanges(t *testing.T) {
 	known := &statev1.RegisteredTarget{Id: "t", Service: "s", Address: "x", State: statev1.RegisteredTarget_STATE_DRAINING, Sequence: 3}
 	cases := map[string]struct {
 		call *statev1.RegisteredTarget
 		puts int
 	}{
-		"the same again":    {call: &statev1.RegisteredTarget{Id: "t", Service: "s", Address: "x", State: statev1.RegisteredTarget_STATE_DRAINING, Sequence: 4}},
-		"a late ready":      {call: &statev1.RegisteredTarget{Id: "t", Service: "s", Address: "x", State: ready, Sequence: 9}},
-		"it ends":           {call: &statev1.RegisteredTarget{Id: "t", State: gone}, puts: 1},
-		"another address":   {call: &statev1.RegisteredTarget{Id: "t", Service: "s", Address: "y", State: statev1.RegisteredTarget_STATE_DRAINING, Sequence: 4}, puts: 1},
-		"one not yet known": {call: &statev1.RegisteredTarget{Id: "u", Service: "s", Address: "z", State: ready, Sequence: 1}, puts: 1},
+		"same row again": {call: &statev1.RegisteredTarget{Id: "t", Service: "s", Address: "x", State: statev1.RegisteredTarget_STATE_DRAINING, Sequence: 4}},
+		"late ready":     {call: &statev1.RegisteredTarget{Id: "t", Service: "s", Address: "x", State: ready, Sequence: 9}},
+		"target gone":    {call: &statev1.RegisteredTarget{Id: "t", State: gone}, puts: 1},
+		"new address":    {call: &statev1.RegisteredTarget{Id: "t", Service: "s", Address: "y", State: statev1.RegisteredTarget_STATE_DRAINING, Sequence: 4}, puts: 1},
+		"unknown target": {call: &statev1.RegisteredTarget{Id: "u", Service: "s", Address: "z", State: ready, Sequence: 1}, puts: 1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			counter := &submits{}
+			counter := &submitCounter{}
 			g := &Registry{
 				Row: func(id string) *statev1.RegisteredTarget {
 					if id == "t" {
@@ -270,22 +272,24 @@
 				Client: NewClient([]string{"a"}, func(string) betweenv1connect.GatewayServiceClient { return counter }),
 			}
 			if err := g.Put(context.Background(), c.call); err != nil || counter.n != c.puts {
-				t.Fatalf("%d puts, %v", counter.n, err)
+				t.Fatalf("%d submissions, %v", counter.n, err)
 			}
 		})
 	}
 }
 
-type submits struct {
+// submitCounter is a fake control box that counts submissions.
+type submitCounter struct {
 	betweenv1connect.GatewayServiceClient
 	mu sync.Mutex
 	n  int
-	// rows are the ids that came, refused those whose entry fails.
-	rows    []string
+	// rows are the ids of the targets submitted.
+	rows []string
+	// refused makes every submission fail.
 	refused bool
 }
 
-func (s *submits) Submit(_ context.Context, r *connect.Request[betweenv1.SubmitRequest]) (*connect.Response[betweenv1.SubmitResponse], error) {
+func (s *submitCounter) Submit(_ context.Context, r *connect.Request[betweenv1.SubmitRequest]) (*connect.Response[betweenv1.SubmitResponse], error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.n++
@@ -298,23 +302,23 @@
 	return connect.NewResponse(&betweenv1.SubmitResponse{}), nil
 }
 
-// Targets that start together share entries of the log, and each is answered
-// with what came of its entry.
-func TestRegistryGathersCalls(t *testing.T) {
+// Targets that start at the same time share log entries, and each call is answered with
+// the result of its entry.
+func TestRegistryBatchesCalls(t *testing.T) {
 	cases := map[string]bool{"acknowledged": false, "no leader": true}
 	for name, refused := range cases {
 		t.Run(name, func(t *testing.T) {
-			counter := &submits{refused: refused}
+			counter := &submitCounter{refused: refused}
 			g := &Registry{Row: func(string) *statev1.RegisteredTarget { return nil },
 				Client: NewClient([]string{"a"}, func(string) betweenv1connect.GatewayServiceClient { return counter })}
-			const targets = 2*mostPuts + 7
+			const targets = 2*maxBatchRows + 7
 			errs := make(chan error, targets)
 			for i := range targets {
 				go func() { errs <- g.Put(context.Background(), row(fmt.Sprint("t", i), ready, 0)) }()
 			}
 			for range targets {
 				if err := <-errs; (err != nil) != refused {
-					t.Fatalf("a target was answered %v", err)
+					t.Fatalf("a target's call returned %v", err)
 				}
 			}
 			counter.mu.Lock()
@@ -324,10 +328,10 @@
 				seen[id] = true
 			}
 			if len(seen) != targets {
-				t.Fatalf("%d of %d rows were put through the log", len(seen), targets)
+				t.Fatalf("%d of %d rows were submitted", len(seen), targets)
 			}
 			if !refused && counter.n > targets/4 {
-				t.Fatalf("%d entries for %d targets", counter.n, targets)
+				t.Fatalf("%d entries were submitted for %d targets", counter.n, targets)
 			}
 		})
 	}
--- a/services/gateway/history.go
+++ b/services/gateway/history.go
@@ -13,31 +13,32 @@
 	"havenwinch.dev/havenwinch/modules/pack"
 )
 
-// heldTables is how many tables a history holds. Tables share the rows that
-// have not changed.
-const heldTables = 24
+// maxTables is how many tables a history keeps. Tables share unchanged rows.
+const maxTables = 24
 
-// history holds the newest routing tables, so that followers are sent what has
-// changed, computed once for all of them.
+// history keeps the newest routing tables, so that followers are sent deltas, each
+// computed once for all followers.
 type history struct {
 	mu     sync.Mutex
 	tables []*statev1.RoutingTable
-	// packed is the newest table in short; deltas make it of earlier versions.
+	// packed is the newest table, compressed. deltas holds, by version, what turns an
+	// earlier table into it. Both are computed when first needed.
 	packed []byte
 	deltas map[uint64]*statev1.RoutingDelta
-	// changes are the rows of targets after a revision, for the newest one.
+	// changes holds, by a follower's revision, the rows of targets that changed after
+	// it. It is valid for the target revision in revision.
 	changes  map[uint64]targetChanges
 	revision uint64
 }
 
-// targetChanges are rows that changed, or all of them.
+// targetChanges has the rows that changed, or all rows if all is set.
 type targetChanges struct {
 	rows []*statev1.RegisteredTarget
 	all  bool
 }
 
-// targetsAfter returns the rows of targets after a revision, looked up once for
-// all followers that have it.
+// targetsAfter returns the targets that changed after a revision. They are looked up
+// once for all followers at that revision.
 func (h *history) targetsAfter(r *state.Routing, revision uint64) targetChanges {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -52,14 +53,15 @@
 	return c
 }
 
-// note takes the table in force in.
-func (h *history) note(t *statev1.RoutingTable) {
+// add adds the table in force, unless it is known.
+func (h *history) add(t *statev1.RoutingTable) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.noteLocked(t)
+	h.addLocked(t)
 }
 
-func (h *history) noteLocked(t *statev1.RoutingTable) {
+// addLocked is add for a caller that holds h.mu.
+func (h *history) addLocked(t *statev1.RoutingTable) {
 	newest := h.newest()
 	if t == nil || newest != nil && newest.GetVersion() >= t.GetVersion() {
 		return
@@ -71,17 +73,18 @@
 		}
 	}
 	h.tables = append(h.tables, shared)
-	if len(h.tables) > heldTables {
+	if len(h.tables) > maxTables {
 		h.tables = append([]*statev1.RoutingTable(nil), h.tables[1:]...)
 	}
 	h.packed, h.deltas = nil, map[uint64]*statev1.RoutingDelta{}
 }
 
-// withoutSource returns a table without the document that it was made from.
+// withoutSource returns a table without the document that it was compiled from.
 func withoutSource(t *statev1.RoutingTable) *statev1.RoutingTable {
 	return &statev1.RoutingTable{Version: t.GetVersion(), Routes: t.GetRoutes(), Services: t.GetServices(), Limits: t.GetLimits(), Payers: t.GetPayers()}
 }
 
+// newest returns the newest table, or nil. The caller must hold h.mu.
 func (h *history) newest() *statev1.RoutingTable {
 	if len(h.tables) == 0 {
 		return nil
@@ -89,12 +92,12 @@
 	return h.tables[len(h.tables)-1]
 }
 
-// fill puts the table in force into an answer to a follower that has an earlier
-// version: what has changed, or all of it where that version is not held.
+// fill adds the table in force, t, to an answer to a follower that has the given
+// version: as a delta, or whole if that version is not kept any more.
 func (h *history) fill(resp *betweenv1.FollowResponse, t *statev1.RoutingTable, version uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.noteLocked(t)
+	h.addLocked(t)
 	if newest := h.newest(); newest.GetVersion() != t.GetVersion() {
 		resp.Routing = withoutSource(t)
 		return
@@ -112,8 +115,8 @@
 	resp.PackedRouting, resp.PackedVersion = h.packed, h.newest().GetVersion()
 }
 
-// delta returns what makes the newest table of a version, nil when it is not
-// held.
+// delta returns the changes from a version to the newest table, or nil if that version
+// is not kept. The caller must hold h.mu.
 func (h *history) delta(version uint64) *statev1.RoutingDelta {
 	if d := h.deltas[version]; d != nil {
 		return d
--- a/services/gateway/history_test.go
+++ b/services/gateway/history_test.go
@@ -20,7 +20,7 @@
 	"havenwinch.dev/havenwinch/services/control/controltest"
 )
 
-// tableWith returns a table of many routes, one of which differs by version.
+// tableWith returns a table with 300 routes, one of which depends on the version.
 func tableWith(version uint64) *statev1.RoutingTable {
 	t := &statev1.RoutingTable{Version: version, Source: []byte("document"), Limits: &statev1.CallerLimits{}}
 	for n := range 300 {
@@ -56,7 +56,7 @@
 	}
 }
 
-// take brings a store up to date and returns the message.
+// take updates a store from the source and returns the message.
 func (f *feed) take(s *Store) *betweenv1.FollowResponse {
 	f.t.Helper()
 	resp := f.source.After(s.Position())
@@ -66,8 +66,8 @@
 	return resp
 }
 
-// A follower is sent what has changed, and the whole table in short when its
-// own one is not held any more.
+// A follower is sent a delta, or the whole table compressed if its version is not kept
+// any more.
 func TestFollowersAreSentChanges(t *testing.T) {
 	f := newFeed(t)
 	f.put(2)
@@ -80,7 +80,7 @@
 		f.put(version)
 		resp := f.take(s)
 		if size := proto.Size(resp); resp.GetDelta().GetBase() != version-1 || size > whole/20 {
-			t.Fatalf("version %d came in %d bytes of %d", version, size, whole)
+			t.Fatalf("version %d was sent in %d bytes, the whole table has %d", version, size, whole)
 		}
 		if r := s.Index().Route("h", "/7/x"); r.GetTimeout() != uint32(version) || len(s.Index().Table.GetRoutes()) != 300 {
 			t.Fatalf("version %d: route %v of %d", version, r, len(s.Index().Table.GetRoutes()))
@@ -88,17 +88,17 @@
 	}
 	late := NewStore(clock.NewFake())
 	f.take(late)
-	for version := uint64(6); version < 6+heldTables+1; version++ {
+	for version := uint64(6); version < 6+maxTables+1; version++ {
 		f.put(version)
 		f.take(s)
 	}
-	if resp := f.take(late); len(resp.GetPackedRouting()) == 0 || late.Index().Table.GetVersion() != 6+heldTables {
-		t.Fatalf("a follower that is far behind got %v", resp)
+	if resp := f.take(late); len(resp.GetPackedRouting()) == 0 || late.Index().Table.GetVersion() != 6+maxTables {
+		t.Fatalf("a follower that is far behind was sent %v", resp)
 	}
 }
 
-// Changes of another table than the one held change nothing.
-func TestChangesOutOfStepAreRefused(t *testing.T) {
+// A delta with another base than the follower's table has no effect.
+func TestDeltaWithAnotherBaseIsRefused(t *testing.T) {
 	s := NewStore(clock.NewFake())
 	if _, _, err := s.Take(&betweenv1.FollowResponse{Routing: withoutSource(tableWith(4))}); err != nil {
 		t.Fatal(err)
@@ -108,15 +108,15 @@
 		t.Fatalf("version %d, %v", version, err)
 	}
 	if _, _, err := NewStore(clock.NewFake()).Take(&betweenv1.FollowResponse{Delta: &statev1.RoutingDelta{Base: 0, Changed: &statev1.RoutingTable{Version: 9}}}); err == nil {
-		t.Fatal("changes were taken without a table")
+		t.Fatal("a delta was accepted without a table")
 	}
 }
 
-// A damaged table is neither in force nor acknowledged.
+// A corrupt table is neither put in force nor acknowledged.
 func TestDamagedTableIsRefused(t *testing.T) {
 	f := newFeed(t)
 	err := f.gateway.Submit(context.Background(), &statev1.Entry{Kind: &statev1.Entry_PutRouting{PutRouting: &statev1.PutRouting{Packed: []byte("no table")}}})
 	if err == nil || f.source.After(Position{}).GetRouting() != nil {
-		t.Fatalf("a damaged table was taken: %v", err)
+		t.Fatalf("a corrupt table was accepted: %v", err)
 	}
 }
--- a/services/gateway/leases.go
+++ b/services/gateway/leases.go
@@ -14,8 +14,8 @@
 	"havenwinch.dev/havenwinch/modules/clock"
 )
 
-// Leases holds an entry box's parts of the prepaid budgets and keeps them in
-// step with control.
+// Leases holds an entry box's leases, its parts of the prepaid budgets, and syncs
+// them with control.
 type Leases struct {
 	LeasesOptions
 	// Holder is the name under which control knows this process.
@@ -25,30 +25,30 @@
 	table     *lease.Table
 	draws     *lease.Draws
 	directory *lease.Directory
-	// reported is when the last report was sent, answered when control last
-	// answered one.
-	reported, answered time.Duration
-	changed            chan struct{}
-	urgent             chan struct{}
-	holders            int
-	inTouch            bool
-	started            time.Duration
-	// sample is the number of the last sample, acked whether control has it.
+	// reportedAt is the boot time at which the last report was sent, answeredAt that of
+	// control's last answer. Both are zero before the first.
+	reportedAt, answeredAt time.Duration
+	changed                chan struct{}
+	urgent                 chan struct{}
+	holders                int
+	connected              bool
+	startedAt              time.Duration
+	// sample is the number of the last sample, acked whether control has confirmed it.
 	sample uint64
 	acked  bool
-	// leaving is set once the box stops, left once a sample says so.
-	leaving bool
-	left    bool
-	// reporting is held by the one report that is under way.
+	// leaving is set when the box starts to stop, leavingSampled when a sample has been
+	// taken after that.
+	leaving        bool
+	leavingSampled bool
+	// reporting serializes reports.
 	reporting sync.Mutex
 }
 
-// LeasesOptions configure Leases.
 type LeasesOptions struct {
-	// Box and Process name the holder; a new process of a box says that the
-	// former has ended.
+	// Box and Process name the holder. A report of a new process of a box tells
+	// control that the former process has ended.
 	Box, Process string
-	// Address is where other entry boxes draw at this one, empty when they
+	// Address is where other entry boxes send their draws to this one, empty if they
 	// can't.
 	Address    string
 	DataCentre string
@@ -56,86 +56,87 @@
 	Client     *Client
 	Clock      clock.Clock
 	Logger     *slog.Logger
-	// Placement tells and hears what long prompts cost to read; nil for a box
-	// that places no calls.
+	// Placement exchanges prefill loads and rate limits with control through the
+	// reports. It is nil for a box that places no calls.
 	Placement Placement
 }
 
-// Placement decides where calls go, and needs to know for that what the long
-// prompts of all boxes cost to read.
+// Placement decides which targets serve calls. For that it needs the prefill load of
+// the long prompts of all boxes, and the rate limits of targets.
 type Placement interface {
-	// Readings returns what targets read of this box's long prompts.
+	// Readings returns the prefill load of this box's long prompts by service.
 	Readings() []*betweenv1.ReadingLoad
-	// SetReadings takes in what they read of those of all boxes.
+	// SetReadings sets the prefill load of the long prompts of all boxes.
 	SetReadings(all []*betweenv1.ReadingLoad)
-	// HasLimits tells whether control should hear of targets' limits.
+	// HasLimits reports whether there are rate limits to report to control.
 	HasLimits() bool
-	// TellLimits fills in the limits that control should hear of, and which it told.
+	// TellLimits adds the rate limits to report to control, and the revision of
+	// control's list that this box has.
 	TellLimits(r *betweenv1.LeaseRequest)
-	// TakeLimits takes in control's answer to that, nil when there was none, and the
-	// entry boxes as far as they are known.
+	// TakeLimits handles control's answer to r, nil if there was none. boxes is nil
+	// while the entry boxes are not known.
 	TakeLimits(r *betweenv1.LeaseRequest, resp *betweenv1.LeaseResponse, boxes *lease.Directory)
 }
 
-// NewLeases returns the leases of a box's process; the holder's name ends with
-// it.
+// NewLeases returns the leases of a box's process, all empty. The holder name is
+// BOX@PROCESS.
 func NewLeases(opts LeasesOptions) *Leases {
 	return &Leases{
 		LeasesOptions: opts, Holder: opts.Box + "@" + opts.Process,
 		table: lease.NewTable(), draws: lease.NewDraws(), changed: make(chan struct{}), urgent: make(chan struct{}, 1),
-		started: opts.Clock.Boot(), acked: true,
+		startedAt: opts.Clock.Boot(), acked: true,
 	}
 }
 
-// Directory returns the entry boxes that hold leases, nil before control has
-// named them.
+// Directory returns the directory of entry boxes, nil before control has sent one.
 func (l *Leases) Directory() *lease.Directory {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.directory
 }
 
-// Outcome is the answer to a reservation.
+// Outcome is the result of a reservation.
 type Outcome int
 
 // Outcomes of a reservation.
 const (
-	// Reserved means that the tokens are set aside.
+	// Reserved means that the tokens are reserved.
 	Reserved Outcome = iota
-	// Exhausted means that the whole budget can't hold the request any more.
+	// Exhausted means that too few tokens are left in the whole budget.
 	Exhausted
-	// Short means that the box has too few now and got none in time.
+	// Short means that the lease has too few tokens and got no more in time.
 	Short
 )
 
-// String names an outcome for logs.
+// String returns the name of an outcome in logs.
 func (o Outcome) String() string { return [...]string{"reserved", "exhausted", "short"}[o] }
 
-// Status is a reading of a lease for logs.
+// Status is a snapshot of a lease, in tokens.
 type Status struct {
 	Free, Left, Unallotted uint64
-	// Age is how long ago control answered, in milliseconds; -1 for never.
+	// Age is the age of control's last answer in milliseconds, -1 if there was none.
 	Age int64
 }
 
-// Reserve sets tokens of an organisation aside, and waits for more, or for
-// control to hear of them, at most as long as told.
+// Reserve reserves tokens of an organisation. It waits at most for the given time
+// until the lease has enough, or until control has received a report of a reservation
+// that has to be reported first.
 func (l *Leases) Reserve(ctx context.Context, organisation string, tokens uint64, wait time.Duration) (Outcome, Status) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.table.Reserve(organisation, tokens, l.Clock.Boot()) {
 		return Reserved, l.status(organisation)
 	}
-	outcome := l.wait(ctx, organisation, tokens, wait)
+	outcome := l.waitForTokens(ctx, organisation, tokens, wait)
 	if outcome == Short {
 		l.table.Missed(organisation, tokens)
 	}
 	return outcome, l.status(organisation)
 }
 
-// wait waits until the lease holds enough tokens and control has heard of the
-// reservation; the caller holds the lock.
-func (l *Leases) wait(ctx context.Context, organisation string, tokens uint64, wait time.Duration) Outcome {
+// waitForTokens waits until the lease has enough tokens and control has received a report of
+// the reservation. The caller must hold l.mu, which is released while it waits.
+func (l *Leases) waitForTokens(ctx context.Context, organisation string, tokens uint64, wait time.Duration) Outcome {
 	if l.table.Exhausted(organisation, tokens) {
 		return Exhausted
 	}
@@ -147,13 +148,13 @@
 	l.table.Need(organisation, int64(tokens))
 	outcome := l.obtain(ctx, organisation, tokens, timer.C)
 	l.table.Need(organisation, -int64(tokens))
-	if outcome == Reserved && !l.announce(ctx, organisation, tokens, timer.C) {
+	if outcome == Reserved && !l.awaitReport(ctx, organisation, tokens, timer.C) {
 		return Short
 	}
 	return outcome
 }
 
-// obtain waits until the lease holds enough tokens.
+// obtain waits until the lease has enough tokens, and reserves them.
 func (l *Leases) obtain(ctx context.Context, organisation string, tokens uint64, late <-chan time.Time) Outcome {
 	for {
 		if l.table.Announce(organisation, tokens) {
@@ -162,32 +163,34 @@
 		if l.table.Exhausted(organisation, tokens) {
 			return Exhausted
 		}
-		if l.cutOff() || !l.await(ctx, late) {
+		if l.isCutOff() || !l.awaitAnswer(ctx, late) {
 			return Short
 		}
 	}
 }
 
-// cutOff tells whether control has not answered for so long that waiting for
-// it is of no use; the caller holds the lock.
-func (l *Leases) cutOff() bool {
-	return l.answered > 0 && l.Clock.Boot()-l.answered > freshAge*time.Millisecond
+// isCutOff reports whether control has not answered for so long that it is useless to
+// wait for it. The caller must hold l.mu.
+func (l *Leases) isCutOff() bool {
+	return l.answeredAt > 0 && l.Clock.Boot()-l.answeredAt > maxAnswerAgeMillis*time.Millisecond
 }
 
-// announce waits until control has heard of a reservation, or the limit allows
-// it without.
-func (l *Leases) announce(ctx context.Context, organisation string, tokens uint64, late <-chan time.Time) bool {
+// awaitReport waits until control has received a report of a reservation. If that comes
+// too late it reports whether the limit of unreported reservations admits it.
+func (l *Leases) awaitReport(ctx context.Context, organisation string, tokens uint64, late <-chan time.Time) bool {
 	wanted := l.sample + 1
 	for l.sample < wanted || !l.acked {
-		if !l.await(ctx, late) {
+		if !l.awaitAnswer(ctx, late) {
 			return l.table.Withdraw(organisation, tokens, l.Clock.Boot())
 		}
 	}
 	return true
 }
 
-// await waits for control's next answer; the caller holds the lock.
-func (l *Leases) await(ctx context.Context, late <-chan time.Time) bool {
+// awaitAnswer requests a report and waits for control's next answer. It returns false if
+// late fires or the context is done first. The caller must hold l.mu, which is
+// released while it waits.
+func (l *Leases) awaitAnswer(ctx context.Context, late <-chan time.Time) bool {
 	l.Hurry()
 	changed := l.changed
 	l.mu.Unlock()
@@ -211,29 +214,28 @@
 	return s
 }
 
-// Drawn notes that a request drew on another box's lease.
+// Drawn records that a request drew tokens from another box's lease.
 func (l *Leases) Drawn(organisation string, tokens uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.table.Drawn(organisation, tokens)
 }
 
-// Holding tells whether this box has tokens of an organisation.
+// Holding reports whether this box has tokens of an organisation.
 func (l *Leases) Holding(organisation string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.table.Holding(organisation)
 }
 
-// Settle ends a reservation with what was spent of it.
+// Settle ends a reservation of which the given tokens were spent.
 func (l *Leases) Settle(organisation string, reserved, spent uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.table.Settle(organisation, reserved, spent)
 }
 
-// Holders returns how many entry boxes there are at present, zero while control has
-// not said.
+// Holders returns the number of entry boxes, zero before control has answered.
 func (l *Leases) Holders() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/services/gateway/peer.go
+++ b/services/gateway/peer.go
@@ -17,105 +17,112 @@
 )
 
 const (
-	// silentBefore is how many draws in a row may go unanswered before a box
-	// rests: a full link of this box delays answers, too.
-	silentBefore = 3
-	// firstRest and longestRest bound the time for which a box is not asked
-	// that gave no answer.
-	firstRest   = 250 * time.Millisecond
-	longestRest = 2 * time.Second
-	// settleDelay is how long settlements are gathered into one message.
+	// suspendAfter is how many consecutive draws without an answer suspend a box.
+	// One is not enough, as a saturated link of this box delays answers, too.
+	suspendAfter = 3
+	// firstSuspension and maxSuspension bound the time for which a box that did not answer is
+	// suspended.
+	firstSuspension = 250 * time.Millisecond
+	maxSuspension   = 2 * time.Second
+	// settleDelay is how long settlements are collected into one message.
 	settleDelay = 60 * time.Millisecond
-	// settleTimeout bounds one message, settlePause the time between tries.
-	settleTimeout = 500 * time.Millisecond
-	settlePause   = 200 * time.Millisecond
+	// settleTimeout bounds one attempt to deliver a message, and settleRetryDelay is the
+	// delay between attempts.
+	settleTimeout    = 500 * time.Millisecond
+	settleRetryDelay = 200 * time.Millisecond
 )
 
-// settlement is the end of a draw that its holder has to hear of.
+// settlement is the end of a draw, to be delivered to the box that holds the lease.
 type settlement struct {
 	id    string
 	spent uint64
-	// until is when the holder has ended the draw by itself.
-	until time.Duration
+	// expires is the boot time from which on delivery is useless, as the holder has
+	// ended the draw itself.
+	expires time.Duration
 }
 
-// peer is another entry box that this one draws at.
+// peer is another entry box from whose leases this one draws.
 type peer struct {
 	box    lease.Box
 	client betweenv1connect.DrawServiceClient
 	now    func() time.Duration
 
-	mu       sync.Mutex
-	failures int
-	restsTo  time.Duration
-	// waiting are settlements on their way; sending is set while a goroutine
+	mu             sync.Mutex
+	failures       int
+	suspendedUntil time.Duration
+	// queued are the settlements to deliver. sending is set while a goroutine
 	// delivers them.
-	waiting []settlement
+	queued  []settlement
 	sending bool
 }
 
-// available tells whether the box may be asked. The first to ask one that has
-// rested tries for all others.
-func (p *peer) available(now time.Duration) bool {
+// isAvailable reports whether a draw may be sent to the box. After a suspension it
+// admits a single draw as a probe, and others only after drawTimeout.
+func (p *peer) isAvailable(now time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.failures < silentBefore {
+	if p.failures < suspendAfter {
 		return true
 	}
-	if now < p.restsTo {
+	if now < p.suspendedUntil {
 		return false
 	}
-	p.restsTo = now + drawTimeout
+	p.suspendedUntil = now + drawTimeout
 	return true
 }
 
-func (p *peer) reached(logger *slog.Logger) {
+// recordSuccess records that the box has answered.
+func (p *peer) recordSuccess(logger *slog.Logger) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.failures >= silentBefore {
+	if p.failures >= suspendAfter {
 		logger.Info("dependency regained", "dependency", "lease holder", "box", p.box.Name, "address", p.box.Address)
 	}
 	p.failures = 0
 }
 
-func (p *peer) unreached(now time.Duration, err error, logger *slog.Logger) {
+// recordFailure records that a draw failed, and suspends the box after suspendAfter
+// failures in a row, for longer with each further one.
+func (p *peer) recordFailure(now time.Duration, err error, logger *slog.Logger) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.failures >= silentBefore && now < p.restsTo-drawTimeout {
-		// It was asked before the box was found out of reach.
+	if p.failures >= suspendAfter && now < p.suspendedUntil-drawTimeout {
+		// The draw was sent before the box was suspended.
 		return
 	}
 	if connect.CodeOf(err) == connect.CodeUnavailable {
-		// Its machine says that nothing listens there.
-		p.failures = max(p.failures, silentBefore-1)
+		// The connection was refused, so a single failure suspends the box.
+		p.failures = max(p.failures, suspendAfter-1)
 	}
 	p.failures++
-	if p.failures == silentBefore {
+	if p.failures == suspendAfter {
 		logger.Warn("dependency lost", "dependency", "lease holder", "box", p.box.Name, "address", p.box.Address, "reason", err.Error())
 	}
-	if p.failures >= silentBefore {
-		p.restsTo = now + min(longestRest, firstRest<<min(p.failures-silentBefore, 5))
+	if p.failures >= suspendAfter {
+		p.suspendedUntil = now + min(maxSuspension, firstSuspension<<min(p.failures-suspendAfter, 5))
 	}
 }
 
-// settle sends a settlement until the box has it, or it is of no use any more.
+// settle queues a settlement. It is sent until the box has received it or delivery
+// has become useless.
 func (p *peer) settle(s settlement) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.waiting = append(p.waiting, s)
+	p.queued = append(p.queued, s)
 	if !p.sending {
 		p.sending = true
 		go p.deliver()
 	}
 }
 
-// busy tells whether settlements are on their way.
-func (p *peer) busy() bool {
+// isDelivering reports whether settlements are being delivered.
+func (p *peer) isDelivering() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.sending
 }
 
+// deliver sends the queued settlements until none is left.
 func (p *peer) deliver() {
 	pause := settleDelay
 	for {
@@ -129,24 +136,25 @@
 			continue
 		}
 		p.mu.Lock()
-		p.waiting = append(batch, p.waiting...)
+		p.queued = append(batch, p.queued...)
 		p.mu.Unlock()
-		pause = settlePause
+		pause = settleRetryDelay
 	}
 }
 
-// batch takes what is still of use; nothing left ends the delivery.
+// batch removes all queued settlements and returns those that are still useful. If
+// there are none it clears sending.
 func (p *peer) batch() []settlement {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var batch []settlement
 	now := p.now()
-	for _, s := range p.waiting {
-		if s.until > now {
+	for _, s := range p.queued {
+		if s.expires > now {
 			batch = append(batch, s)
 		}
 	}
-	p.waiting = nil
+	p.queued = nil
 	p.sending = len(batch) > 0
 	return batch
 }
--- a/services/gateway/placement_test.go
+++ b/services/gateway/placement_test.go
@@ -12,33 +12,35 @@
 	"havenwinch.dev/havenwinch/models/lease"
 )
 
-// asking is a placement that asks the leases back, as one does under its own lock.
-type asking struct {
+// callbackPlacement is a placement that calls back into the leases, as the real one does while it
+// holds its own lock.
+type callbackPlacement struct {
 	l     *Leases
 	asked chan struct{}
 }
 
-func (a *asking) ask() {
+func (a *callbackPlacement) ask() {
 	a.l.Holders()
 	a.asked <- struct{}{}
 }
 
-func (a *asking) Readings() []*betweenv1.ReadingLoad   { a.ask(); return nil }
-func (a *asking) SetReadings([]*betweenv1.ReadingLoad) { a.ask() }
-func (a *asking) HasLimits() bool                      { a.ask(); return true }
-func (a *asking) TellLimits(*betweenv1.LeaseRequest)   { a.ask() }
-func (a *asking) TakeLimits(*betweenv1.LeaseRequest, *betweenv1.LeaseResponse, *lease.Directory) {
+func (a *callbackPlacement) Readings() []*betweenv1.ReadingLoad   { a.ask(); return nil }
+func (a *callbackPlacement) SetReadings([]*betweenv1.ReadingLoad) { a.ask() }
+func (a *callbackPlacement) HasLimits() bool                      { a.ask(); return true }
+func (a *callbackPlacement) TellLimits(*betweenv1.LeaseRequest)   { a.ask() }
+func (a *callbackPlacement) TakeLimits(*betweenv1.LeaseRequest, *betweenv1.LeaseResponse, *lease.Directory) {
 	a.ask()
 }
 
-// An entry box answered nobody any more, its balancer's question included: a report
-// asked the placement of calls under the lock of the leases, while the placement asked
-// the leases under its own. Two runs of twenty under random faults showed it, with a
-// box that was not ready a minute after all faults had ended and logged nothing.
-func TestPlacementIsNotAskedUnderTheLock(t *testing.T) {
-	l := newLeases(&box{answer: grants(1000)})
+// Guards against a deadlock: a report called the placement while it held the lock of
+// the leases, and the placement called the leases while it held its own. The entry box
+// then answered no requests, health checks of its load balancer included, and logged
+// nothing. It occurred in 2 of 20 runs with random faults: a box was not ready a minute
+// after all faults had ended.
+func TestPlacementIsNotCalledUnderTheLock(t *testing.T) {
+	l := newLeases(&controlBox{answer: grantAll(1000)})
 	const questions = 5
-	a := &asking{l: l, asked: make(chan struct{}, 10*questions)}
+	a := &callbackPlacement{l: l, asked: make(chan struct{}, 10*questions)}
 	l.Placement = a
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -47,7 +49,7 @@
 		select {
 		case <-a.asked:
 		case <-time.After(time.Minute):
-			t.Fatalf("only %d of %d questions of a report came back", n, questions)
+			t.Fatalf("only %d of the %d calls of a report returned", n, questions)
 		}
 	}
 }
--- a/services/gateway/registry.go
+++ b/services/gateway/registry.go
@@ -13,39 +13,40 @@
 )
 
 const (
-	// putGather is how long news of targets are gathered into one entry of the
-	// log: thousands of targets may start at the same moment.
-	putGather = 12 * time.Millisecond
-	// putTimeout bounds one entry with all its tries.
+	// putBatchDelay is how long changes of targets are collected into one log entry, as
+	// thousands of targets may start at the same moment.
+	putBatchDelay = 12 * time.Millisecond
+	// putTimeout bounds the submission of one entry, retries included.
 	putTimeout = 900 * time.Millisecond
-	// mostPuts is how many rows one entry has at most.
-	mostPuts = 512
+	// maxBatchRows is the maximum number of rows in one entry.
+	maxBatchRows = 512
 )
 
-// Registry takes the calls of targets that register themselves. A call that
-// changes nothing is answered from the box's own copy; any other one only after
-// the change is in the log, so that it outlives the box that answers.
+// Registry handles the calls of targets that register themselves. A call that changes
+// nothing is answered from the box's own copy. Any other is answered only after the
+// change is committed, so that it survives a failure of the box that answers.
 type Registry struct {
-	// Row returns what the box knows of a target, nil when nothing.
+	// Row returns the box's copy of a target's row, nil if it has none.
 	Row    func(id string) *statev1.RegisteredTarget
 	Client *Client
 
 	mu sync.Mutex
-	// open is the batch that still takes rows, nil when there is none.
+	// open is the batch that accepts rows, nil if there is none.
 	open *putBatch
 }
 
-// putBatch are rows that go through the log together. Its error is set before
-// done is closed.
+// putBatch has rows that are committed in one entry. err is set before done is
+// closed.
 type putBatch struct {
 	rows []*statev1.RegisteredTarget
 	done chan struct{}
 	err  error
 }
 
-// Put takes a target's row in.
+// Put commits a target's row, unless the box's copy shows that it changes nothing. It
+// returns after the commit.
 func (g *Registry) Put(ctx context.Context, t *statev1.RegisteredTarget) error {
-	if known := g.Row(t.GetId()); known != nil && settled(known, t) {
+	if known := g.Row(t.GetId()); known != nil && isUnchanged(known, t) {
 		return nil
 	}
 	b := g.join(t)
@@ -57,12 +58,13 @@
 	}
 }
 
-// Gone takes a start of a target out that its own calls have not taken out.
+// Gone deregisters the start of a target with the given time of birth, for targets
+// that failed to do so themselves.
 func (g *Registry) Gone(ctx context.Context, id string, born int64) error {
 	return g.Put(ctx, &statev1.RegisteredTarget{Id: id, Born: born, State: statev1.RegisteredTarget_STATE_GONE})
 }
 
-// join adds a row to the open batch, or opens one.
+// join adds a row to the open batch, and opens one if there is none.
 func (g *Registry) join(t *statev1.RegisteredTarget) *putBatch {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -73,17 +75,17 @@
 		go g.submit(b)
 	}
 	b.rows = append(b.rows, t)
-	if len(b.rows) >= mostPuts {
+	if len(b.rows) >= maxBatchRows {
 		g.open = nil
 	}
 	return b
 }
 
-// submit gathers rows for a moment and puts them through the log.
+// submit commits a batch after collecting rows for putBatchDelay.
 func (g *Registry) submit(b *putBatch) {
 	ctx, cancel := context.WithTimeout(context.Background(), putTimeout)
 	defer cancel()
-	periodic.Sleep(ctx, putGather)
+	periodic.Sleep(ctx, putBatchDelay)
 	g.mu.Lock()
 	if g.open == b {
 		g.open = nil
@@ -93,8 +95,8 @@
 	close(b.done)
 }
 
-// settled tells whether a call says nothing that is not known already.
-func settled(known, t *statev1.RegisteredTarget) bool {
+// isUnchanged reports whether row t changes nothing compared to the known row.
+func isUnchanged(known, t *statev1.RegisteredTarget) bool {
 	if known.GetBorn() != t.GetBorn() {
 		return false
 	}
--- a/services/gateway/report.go
+++ b/services/gateway/report.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// leaseInterval is the time between reports.
-	leaseInterval = 300 * time.Millisecond
-	// presenceInterval is the time between reports of a box that has no leases.
+	// reportInterval is the time between reports.
+	reportInterval = 300 * time.Millisecond
+	// presenceInterval is the time between reports of a box without leases.
 	presenceInterval = time.Second
-	// leaseTimeout bounds one report with all its tries.
-	leaseTimeout = 1500 * time.Millisecond
-	// urgentPause is the shortest time between two reports.
-	urgentPause = 15 * time.Millisecond
+	// reportTimeout bounds one report, retries included.
+	reportTimeout = 1500 * time.Millisecond
+	// minReportInterval is the minimum time between two reports.
+	minReportInterval = 15 * time.Millisecond
 )
 
-// Hurry makes the next report come at once.
+// Hurry makes Run send the next report immediately.
 func (l *Leases) Hurry() {
 	select {
 	case l.urgent <- struct{}{}:
@@ -32,9 +32,9 @@
 	}
 }
 
-// Run reports until the context ends.
+// Run sends reports periodically until the context is done.
 func (l *Leases) Run(ctx context.Context) {
-	ticker := time.NewTicker(leaseInterval)
+	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		select {
@@ -44,12 +44,12 @@
 		case <-l.urgent:
 		}
 		l.report(ctx)
-		periodic.Sleep(ctx, urgentPause)
+		periodic.Sleep(ctx, minReportInterval)
 	}
 }
 
-// Leave makes this and all further reports give back what no request has
-// reserved, and ask for nothing.
+// Leave triggers a report. This and all further reports return the tokens that no
+// request has reserved, and request none.
 func (l *Leases) Leave() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -57,7 +57,7 @@
 	l.Hurry()
 }
 
-// Return reports a last time, after Leave and the last request.
+// Return sends the last report, after Leave and the end of the last request.
 func (l *Leases) Return(ctx context.Context) { l.report(ctx) }
 
 func (l *Leases) report(ctx context.Context) {
@@ -67,14 +67,14 @@
 	if r == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	if l.Placement != nil {
 		r.Readings = l.Placement.Readings()
 		l.Placement.TellLimits(r)
 	}
 	resp, err := l.Client.Lease(ctx, r)
-	l.take(resp, err)
+	l.handleAnswer(resp, err)
 	if l.Placement == nil {
 		return
 	}
@@ -86,25 +86,25 @@
 	l.Placement.TakeLimits(r, resp, l.Directory())
 }
 
-// request takes a new sample, or repeats the last one until control has it. It
-// returns nil when there is nothing to say yet.
+// request returns the next report: with a new sample, or with the last one again if
+// control has not confirmed it. It returns nil if no report is due yet.
 func (l *Leases) request() *betweenv1.LeaseRequest {
 	index := l.Store.Index()
 	if index == nil {
 		return nil
 	}
-	// The placement has a lock of its own, under which it asks how many boxes there are:
-	// asked under this one, both waited for each other and the box answered nobody.
+	// The placement calls Holders while it holds its own lock. Called with l.mu held, it
+	// caused a deadlock, after which the box answered no requests.
 	news := l.Placement != nil && l.Placement.HasLimits()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.Clock.Boot()
 	l.expireDraws(now)
-	organisations, holds := l.reports(index, now)
-	if !holds && !news && !l.leaving && l.reported > 0 && now-l.reported < presenceInterval {
+	organisations, holds := l.organisationsToReport(index, now)
+	if !holds && !news && !l.leaving && l.reportedAt > 0 && now-l.reportedAt < presenceInterval {
 		return nil
 	}
-	l.reported = now
+	l.reportedAt = now
 	if l.leaving {
 		l.table.ReturnAll()
 	}
@@ -112,10 +112,10 @@
 		l.acked = false
 		l.sample++
 		l.table.Sample(now)
-		l.left = l.leaving
+		l.leavingSampled = l.leaving
 	}
 	r := &betweenv1.LeaseRequest{
-		Holder: l.Holder, Box: l.Box, Leaving: l.left, Age: (now - l.started).Milliseconds(), Sample: l.sample,
+		Holder: l.Holder, Box: l.Box, Leaving: l.leavingSampled, Age: (now - l.startedAt).Milliseconds(), Sample: l.sample,
 		Address: l.Address, DataCentre: l.DataCentre,
 	}
 	if l.directory != nil {
@@ -131,17 +131,16 @@
 	return r
 }
 
-// reports returns the organisations that control has to hear of: those of which
-// this box has a lease or should have one, and those that it draws on much
-// elsewhere. Holds tells whether there are any of the first two kinds. The
-// caller holds the lock.
-func (l *Leases) reports(index *routing.Index, now time.Duration) (list []string, holds bool) {
+// organisationsToReport returns the organisations to report on: those of which this box has a lease
+// or should have one, and those of which it draws many tokens from other boxes. holds
+// reports whether there are any of the first two kinds. The caller must hold l.mu.
+func (l *Leases) organisationsToReport(index *routing.Index, now time.Duration) (list []string, holds bool) {
 	for _, p := range index.Table.GetPayers() {
 		if !p.GetLimited() {
 			continue
 		}
 		name := p.GetOrganisation()
-		held := l.table.InUse(name) || l.holds(name)
+		held := l.table.InUse(name) || l.shouldHold(name)
 		if held || l.table.Heavy(name, now) {
 			list = append(list, name)
 		}
@@ -150,20 +149,23 @@
 	return list, holds
 }
 
-func (l *Leases) holds(organisation string) bool {
+// shouldHold reports whether this box should have a lease of an organisation: by the
+// directory, or because others can't draw at it. The caller must hold l.mu.
+func (l *Leases) shouldHold(organisation string) bool {
 	return l.Address == "" || l.directory.Holds(l.Box, l.DataCentre, organisation)
 }
 
-func (l *Leases) take(resp *betweenv1.LeaseResponse, err error) {
+// handleAnswer handles control's answer to a report, or the error instead of one.
+func (l *Leases) handleAnswer(resp *betweenv1.LeaseResponse, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.touched(err)
+	l.logConnection(err)
 	if err != nil {
 		return
 	}
 	l.acked = true
 	now := l.Clock.Boot()
-	l.answered = now
+	l.answeredAt = now
 	for _, g := range resp.GetGrants() {
 		l.table.Granted(g.GetOrganisation(), g.GetAllotted(), g.GetKeep(), g.GetLeft(), now)
 		l.table.Of(g.GetOrganisation()).Unallotted = g.GetUnallotted()
@@ -171,13 +173,13 @@
 	if resp.GetHolders() > 0 {
 		l.holders = int(resp.GetHolders())
 	}
-	l.learn(resp.GetDirectory())
+	l.setDirectory(resp.GetDirectory())
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// learn takes a new directory in; the caller holds the lock.
-func (l *Leases) learn(d *betweenv1.Directory) {
+// setDirectory sets the directory, if d is not nil. The caller must hold l.mu.
+func (l *Leases) setDirectory(d *betweenv1.Directory) {
 	if d == nil {
 		return
 	}
@@ -189,13 +191,14 @@
 	l.Logger.Info("directory of entry boxes in force", "version", l.directory.Version, "boxes", len(boxes))
 }
 
-// touched logs when control is lost or regained.
-func (l *Leases) touched(err error) {
+// logConnection logs when the connection to control is lost or regained. The caller must
+// hold l.mu.
+func (l *Leases) logConnection(err error) {
 	touch := err == nil
-	if touch == l.inTouch {
+	if touch == l.connected {
 		return
 	}
-	l.inTouch = touch
+	l.connected = touch
 	if touch {
 		l.Logger.Info("dependency regained", "dependency", "leases", "sample", l.sample)
 		return
--- a/services/gateway/shared.go
+++ b/services/gateway/shared.go
@@ -21,31 +21,35 @@
 )
 
 const (
-	// drawTimeout bounds a draw at another box, beside what that box may wait.
+	// drawTimeout bounds a draw from another box, in addition to the time that the
+	// box may wait for tokens.
 	drawTimeout = 80 * time.Millisecond
-	// drawPatience is how much longer than one may wait all boxes together may
-	// take.
-	drawPatience = 1.5
-	// drawMargin is added to a draw's lifetime for its settlement to arrive.
+	// reserveTimeoutFactor bounds a reservation over all boxes, as a multiple of the time
+	// that it may wait.
+	reserveTimeoutFactor = 1.5
+	// drawMargin is added to a draw's lifetime so that its settlement can arrive.
 	drawMargin = 4 * time.Second
-	// freshAge is the age of control's answer up to which a holder is in touch,
-	// in milliseconds.
-	freshAge = 1500
+	// maxAnswerAgeMillis is the age of control's last answer, in milliseconds, up to which a
+	// holder counts as connected to control.
+	maxAnswerAgeMillis = 1500
 )
 
-// Reservation is a number of tokens that are set aside, here or at another box.
+// Reservation is a number of tokens reserved on a lease of this or another box.
 type Reservation struct {
 	Organisation string
 	Tokens       uint64
-	// Holder is the name of the box whose lease it is.
+	// Holder is the name of the box that holds the lease.
 	Holder string
 
+	// peer and draw are the other box and the id of the draw, nil and empty for a
+	// reservation on this box.
 	peer *peer
 	draw string
 }
 
-// Shared reserves on the leases of a few entry boxes: of this one where it
-// holds the organisation's, else of those that do, near ones first.
+// Shared reserves tokens on the leases of entry boxes: on this box's lease if it has
+// tokens of the organisation, or else on those of other boxes that hold its leases,
+// beginning with this data centre.
 type Shared struct {
 	Leases *Leases
 	// Dial returns a client of the box at an address.
@@ -57,24 +61,24 @@
 	peers map[string]*peer
 }
 
-// drawTerms are what is wanted of a lease.
+// drawTerms are the parameters of a reservation.
 type drawTerms struct {
 	organisation string
 	tokens       uint64
-	// lifetime is how long the tokens may be in use.
+	// lifetime is how long the tokens may stay reserved.
 	lifetime time.Duration
 }
 
-// Reserve sets tokens of an organisation aside for as long as the context
-// lasts, and waits for more at most as long as told. The holders of this data
-// centre are asked first, for what they have; then the one of them that heard of
-// control last, if control can give it more; then those of other data centres.
+// Reserve reserves tokens of an organisation until the context's deadline, and waits
+// for them at most for the given time. It asks the holders of this data centre first,
+// without waiting; then the one of them with the most recent answer from control, if
+// control can grant it more; then the holders in other data centres.
 func (s *Shared) Reserve(ctx context.Context, organisation string, tokens uint64, wait time.Duration) (Reservation, Outcome, Status) {
-	q := drawTerms{organisation: organisation, tokens: tokens, lifetime: longestDraw}
+	q := drawTerms{organisation: organisation, tokens: tokens, lifetime: maxDrawLifetime}
 	if deadline, limited := ctx.Deadline(); limited {
 		q.lifetime = time.Until(deadline) + drawMargin
 	}
-	ctx, cancel := context.WithTimeout(ctx, max(drawTimeout, time.Duration(drawPatience*float64(wait))))
+	ctx, cancel := context.WithTimeout(ctx, max(drawTimeout, time.Duration(reserveTimeoutFactor*float64(wait))))
 	defer cancel()
 	o := s.reserve(ctx, q, wait)
 	return o.reservation, o.outcome, o.status
@@ -82,27 +86,27 @@
 
 func (s *Shared) reserve(ctx context.Context, q drawTerms, wait time.Duration) offer {
 	directory := s.Leases.Directory()
-	near := s.atOnce(ctx, s.near(directory, q.organisation), q)
-	if near.final() {
+	near := s.tryWithoutWaiting(ctx, s.localBoxes(directory, q.organisation), q)
+	if near.isFinal() {
 		return near
 	}
-	if !near.asked {
+	if !near.answered {
 		near.box = s.self()
 	}
-	if !near.asked || near.canGetMore(q.tokens) {
-		if o := s.try(ctx, near.box, q, wait); o.final() || !near.asked {
+	if !near.answered || near.canGetMore(q.tokens) {
+		if o := s.try(ctx, near.box, q, wait); o.isFinal() || !near.answered {
 			return o
 		}
 	}
-	if far := s.atOnce(ctx, s.rotate(directory.Elsewhere(q.organisation, s.Leases.DataCentre)), q); far.final() {
+	if far := s.tryWithoutWaiting(ctx, s.rotate(directory.Elsewhere(q.organisation, s.Leases.DataCentre)), q); far.isFinal() {
 		return far
 	}
 	return near
 }
 
-// near returns the boxes of this data centre that may have tokens: this one
-// where it has some, and the organisation's holders.
-func (s *Shared) near(d *lease.Directory, organisation string) []lease.Box {
+// localBoxes returns the boxes of this data centre that may have tokens: this one first, if
+// it has some, and the organisation's holders.
+func (s *Shared) localBoxes(d *lease.Directory, organisation string) []lease.Box {
 	boxes := s.rotate(d.Holders(organisation, s.Leases.DataCentre))
 	if len(boxes) > 0 && boxes[0].Name != s.Leases.Box && s.Leases.Holding(organisation) {
 		return append([]lease.Box{s.self()}, boxes...)
@@ -110,43 +114,46 @@
 	return boxes
 }
 
-// atOnce asks boxes for what they have, one after the other, until one decides.
-// Otherwise it returns the answer of the one that heard of control last.
-func (s *Shared) atOnce(ctx context.Context, boxes []lease.Box, q drawTerms) offer {
+// tryWithoutWaiting tries boxes in turn, without waiting for tokens, until one gives a final
+// answer. Otherwise it returns the offer of the box with the most recent answer from
+// control.
+func (s *Shared) tryWithoutWaiting(ctx context.Context, boxes []lease.Box, q drawTerms) offer {
 	best := offer{outcome: Short}
 	for _, b := range boxes {
 		o := s.try(ctx, b, q, 0)
-		if o.final() {
+		if o.isFinal() {
 			return o
 		}
-		best = best.better(o)
+		best = best.moreRecent(o)
 	}
 	return best
 }
 
-// offer is a box's answer.
+// offer is a box's answer to a draw.
 type offer struct {
-	box         lease.Box
-	asked       bool
+	box lease.Box
+	// answered is set if the box has answered.
+	answered    bool
 	reservation Reservation
 	outcome     Outcome
 	status      Status
 }
 
-// final tells whether nobody else need be asked.
-func (o offer) final() bool { return o.asked && o.outcome != Short }
+// isFinal reports whether no other box has to be tried.
+func (o offer) isFinal() bool { return o.answered && o.outcome != Short }
 
-// canGetMore tells whether the box can have more tokens of control soon.
+// canGetMore reports whether the box can soon have enough tokens, with more from
+// control.
 func (o offer) canGetMore(tokens uint64) bool {
-	return o.status.Age >= 0 && o.status.Age <= freshAge && o.status.Unallotted+o.status.Free >= tokens
+	return o.status.Age >= 0 && o.status.Age <= maxAnswerAgeMillis && o.status.Unallotted+o.status.Free >= tokens
 }
 
-// better returns the answer of the box that heard of control last.
-func (o offer) better(other offer) offer {
+// moreRecent returns the offer of the box with the more recent answer from control.
+func (o offer) moreRecent(other offer) offer {
 	switch {
-	case !other.asked:
+	case !other.answered:
 		return o
-	case !o.asked || o.status.Age < 0 || (other.status.Age >= 0 && other.status.Age < o.status.Age):
+	case !o.answered || o.status.Age < 0 || (other.status.Age >= 0 && other.status.Age < o.status.Age):
 		return other
 	default:
 		return o
@@ -157,8 +164,8 @@
 	return lease.Box{Name: s.Leases.Box, DataCentre: s.Leases.DataCentre}
 }
 
-// rotate puts this box first, and else spreads the draws over the boxes that
-// are asked.
+// rotate returns the boxes rotated so that this one is first or, if it is not among
+// them, a different one on each call, to spread the draws over them.
 func (s *Shared) rotate(boxes []lease.Box) []lease.Box {
 	if len(boxes) == 0 {
 		return nil
@@ -172,16 +179,16 @@
 	return append(append([]lease.Box(nil), boxes[first:]...), boxes[:first]...)
 }
 
-// try asks one box.
+// try reserves tokens on the lease of one box.
 func (s *Shared) try(ctx context.Context, b lease.Box, q drawTerms, wait time.Duration) offer {
 	if b.Name == s.Leases.Box {
 		outcome, status := s.Leases.Reserve(ctx, q.organisation, q.tokens, wait)
-		return offer{box: b, asked: true, outcome: outcome, status: status,
+		return offer{box: b, answered: true, outcome: outcome, status: status,
 			reservation: Reservation{Organisation: q.organisation, Tokens: q.tokens, Holder: b.Name}}
 	}
 	p := s.peer(b)
 	now := s.Leases.Clock.Boot()
-	if !p.available(now) {
+	if !p.isAvailable(now) {
 		return offer{outcome: Short}
 	}
 	id := s.Leases.Holder + "-" + strconv.FormatUint(s.draws.Add(1), 10)
@@ -191,15 +198,16 @@
 		Id: id, Organisation: q.organisation, Tokens: q.tokens, Wait: wait.Milliseconds(), Lifetime: q.lifetime.Milliseconds(),
 	}))
 	if err != nil {
-		s.lost(ctx, p, id, err)
+		s.handleLostDraw(ctx, p, id, err)
 		return offer{outcome: Short}
 	}
-	p.reached(s.Leases.Logger)
-	return s.offered(p, b, id, q, resp.Msg)
+	p.recordSuccess(s.Leases.Logger)
+	return s.offerOf(p, b, id, q, resp.Msg)
 }
 
-func (s *Shared) offered(p *peer, b lease.Box, id string, q drawTerms, r *betweenv1.DrawResponse) offer {
-	o := offer{box: b, asked: true, outcome: Short, status: Status{Free: r.GetFree(), Left: r.GetLeft(), Unallotted: r.GetUnallotted(), Age: r.GetAge()}}
+// offerOf converts another box's answer to an offer.
+func (s *Shared) offerOf(p *peer, b lease.Box, id string, q drawTerms, r *betweenv1.DrawResponse) offer {
+	o := offer{box: b, answered: true, outcome: Short, status: Status{Free: r.GetFree(), Left: r.GetLeft(), Unallotted: r.GetUnallotted(), Age: r.GetAge()}}
 	switch r.GetOutcome() {
 	case betweenv1.DrawOutcome_DRAW_OUTCOME_RESERVED:
 		o.outcome = Reserved
@@ -211,16 +219,16 @@
 	return o
 }
 
-// lost notes a draw without an answer: it may have been made, so it is settled
-// with nothing spent.
-func (s *Shared) lost(ctx context.Context, p *peer, id string, err error) {
-	p.settle(settlement{id: id, until: s.Leases.Clock.Boot() + lateDraw})
+// handleLostDraw handles a draw without an answer. The other box may have reserved the tokens, so
+// the draw is settled with nothing spent.
+func (s *Shared) handleLostDraw(ctx context.Context, p *peer, id string, err error) {
+	p.settle(settlement{id: id, expires: s.Leases.Clock.Boot() + settledDrawTTL})
 	if ctx.Err() == nil {
-		p.unreached(s.Leases.Clock.Boot(), err, s.Leases.Logger)
+		p.recordFailure(s.Leases.Clock.Boot(), err, s.Leases.Logger)
 	}
 }
 
-// peer returns the row of another box; one that has moved gets a new one.
+// peer returns the peer of another box, a new one if the box has a new address.
 func (s *Shared) peer(b lease.Box) *peer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -235,26 +243,26 @@
 	return p
 }
 
-// Settle ends a reservation with what was spent of it.
+// Settle ends a reservation of which the given tokens were spent.
 func (s *Shared) Settle(r Reservation, spent uint64) {
 	if r.peer == nil {
 		s.Leases.Settle(r.Organisation, r.Tokens, spent)
 		return
 	}
-	r.peer.settle(settlement{id: r.draw, spent: spent, until: s.Leases.Clock.Boot() + drawMargin})
+	r.peer.settle(settlement{id: r.draw, spent: spent, expires: s.Leases.Clock.Boot() + drawMargin})
 }
 
-// Flush waits until all settlements are delivered, or the context ends.
+// Flush waits until all settlements are delivered or the context is done.
 func (s *Shared) Flush(ctx context.Context) {
 	s.mu.Lock()
 	peers := slices.Collect(maps.Values(s.peers))
 	s.mu.Unlock()
 	for _, p := range peers {
-		for p.busy() && ctx.Err() == nil {
+		for p.isDelivering() && ctx.Err() == nil {
 			periodic.Sleep(ctx, settleDelay/2)
 		}
 	}
 }
 
-// Boxes returns how many entry boxes there are at present.
+// Boxes returns the number of entry boxes, zero before control has answered.
 func (s *Shared) Boxes() int { return s.Leases.Holders() }
--- a/services/gateway/shared_test.go
+++ b/services/gateway/shared_test.go
@@ -19,15 +19,16 @@
 	"havenwinch.dev/havenwinch/modules/logging"
 )
 
-// wire carries draws to a holder, or loses them.
-type wire struct {
+// lossyConn is a connection to a holder that can lose messages.
+type lossyConn struct {
 	leases *Leases
-	// loses says what is lost on the way: "asks", "answers", "settlements".
+	// loses has the kinds of messages that are lost: "asks", "answers" (of draws) and
+	// "settlements".
 	loses   map[string]bool
 	settled chan string
 }
 
-func (w *wire) Draw(ctx context.Context, r *connect.Request[betweenv1.DrawRequest]) (*connect.Response[betweenv1.DrawResponse], error) {
+func (w *lossyConn) Draw(ctx context.Context, r *connect.Request[betweenv1.DrawRequest]) (*connect.Response[betweenv1.DrawResponse], error) {
 	lost := connect.NewError(connect.CodeUnavailable, errors.New("lost"))
 	if w.loses["asks"] {
 		return nil, lost
@@ -39,7 +40,7 @@
 	return connect.NewResponse(resp), nil
 }
 
-func (w *wire) Settle(_ context.Context, r *connect.Request[betweenv1.SettleDrawsRequest]) (*connect.Response[betweenv1.SettleDrawsResponse], error) {
+func (w *lossyConn) Settle(_ context.Context, r *connect.Request[betweenv1.SettleDrawsRequest]) (*connect.Response[betweenv1.SettleDrawsResponse], error) {
 	if w.loses["settlements"] {
 		return nil, connect.NewError(connect.CodeUnavailable, errors.New("lost"))
 	}
@@ -50,7 +51,7 @@
 	return connect.NewResponse(&betweenv1.SettleDrawsResponse{}), nil
 }
 
-// holderWith returns the leases of a box that has tokens and control's answer.
+// holderWith returns the leases of a box to which control has granted tokens.
 func holderWith(name, centre string, tokens uint64, c clock.Clock) *Leases {
 	store := NewStore(c)
 	store.Take(&betweenv1.FollowResponse{Routing: &statev1.RoutingTable{Version: 1, Payers: []*statev1.Payer{{Organisation: "o", Limited: true, Prepaid: 1 << 20}}}})
@@ -63,15 +64,15 @@
 type sharedFixture struct {
 	*Shared
 	clock *clock.Fake
-	wires map[string]*wire
+	wires map[string]*lossyConn
 	order []lease.Box
 }
 
-// newShared makes a box in a data centre with others: four in its own, of which
-// two hold the organisation, and two in another one.
+// newShared returns the fixture of a guest box. The directory lists five boxes in its
+// data centre, of which two hold leases of the organisation, and two in another one.
 func newShared(tokens func(holder int, far bool) uint64) *sharedFixture {
 	c := clock.NewFake()
-	f := &sharedFixture{clock: c, wires: map[string]*wire{}}
+	f := &sharedFixture{clock: c, wires: map[string]*lossyConn{}}
 	var boxes []lease.Box
 	for _, name := range []string{"a", "b", "c", "d", "e"} {
 		boxes = append(boxes, lease.Box{Name: name, Address: name, DataCentre: "near"})
@@ -85,32 +86,32 @@
 	f.Leases.directory = d
 	f.order = f.rotate(d.Holders("o", "near"))
 	for i, b := range f.order {
-		f.wires[b.Name] = &wire{leases: holderWith(b.Name, "near", tokens(i, false), c), loses: map[string]bool{}, settled: make(chan string, 9)}
+		f.wires[b.Name] = &lossyConn{leases: holderWith(b.Name, "near", tokens(i, false), c), loses: map[string]bool{}, settled: make(chan string, 9)}
 	}
 	for i, b := range f.rotate(d.Elsewhere("o", "near")) {
-		f.wires[b.Name] = &wire{leases: holderWith(b.Name, "far", tokens(i, true), c), loses: map[string]bool{}, settled: make(chan string, 9)}
+		f.wires[b.Name] = &lossyConn{leases: holderWith(b.Name, "far", tokens(i, true), c), loses: map[string]bool{}, settled: make(chan string, 9)}
 		f.order = append(f.order, b)
 	}
 	return f
 }
 
-func (f *sharedFixture) wire(n int) *wire { return f.wires[f.order[n].Name] }
+func (f *sharedFixture) wire(n int) *lossyConn { return f.wires[f.order[n].Name] }
 
-func TestWhoIsDrawnAt(t *testing.T) {
+func TestWhichBoxGivesTokens(t *testing.T) {
 	all := func(int, bool) uint64 { return 100000 }
 	cases := map[string]struct {
 		tokens  func(holder int, far bool) uint64
 		prepare func(f *sharedFixture)
-		// holder is the place of the box that gives, -1 for none.
+		// holder is the index in order of the box that gives tokens, -1 for none.
 		holder int
 	}{
-		"the first holder":             {tokens: all, holder: 0},
-		"the first is out of reach":    {tokens: all, prepare: func(f *sharedFixture) { f.wire(0).loses["asks"] = true }, holder: 1},
-		"the first stops":              {tokens: all, prepare: func(f *sharedFixture) { f.wire(0).leases.Leave() }, holder: 1},
-		"the first has too few":        {tokens: func(n int, _ bool) uint64 { return uint64(n) * 100000 }, holder: 1},
-		"only another data centre has": {tokens: func(_ int, far bool) uint64 { return map[bool]uint64{true: 100000}[far] }, holder: 2},
-		"nobody has":                   {tokens: func(int, bool) uint64 { return 10 }, holder: -1},
-		"nobody can be reached": {tokens: all, prepare: func(f *sharedFixture) {
+		"first holder":             {tokens: all, holder: 0},
+		"first unreachable":        {tokens: all, prepare: func(f *sharedFixture) { f.wire(0).loses["asks"] = true }, holder: 1},
+		"first stopping":           {tokens: all, prepare: func(f *sharedFixture) { f.wire(0).leases.Leave() }, holder: 1},
+		"first has too few":        {tokens: func(n int, _ bool) uint64 { return uint64(n) * 100000 }, holder: 1},
+		"only another data centre": {tokens: func(_ int, far bool) uint64 { return map[bool]uint64{true: 100000}[far] }, holder: 2},
+		"none has enough":          {tokens: func(int, bool) uint64 { return 10 }, holder: -1},
+		"none reachable": {tokens: all, prepare: func(f *sharedFixture) {
 			for _, w := range f.wires {
 				w.loses["asks"] = true
 			}
@@ -154,7 +155,7 @@
 	}
 }
 
-// A draw whose answer is lost is given back, and a second holder serves.
+// A draw whose answer is lost is released, and the next holder gives the tokens.
 func TestDrawWithoutAnswerIsReleased(t *testing.T) {
 	f := newShared(func(int, bool) uint64 { return 100000 })
 	f.wire(0).loses["answers"] = true
@@ -168,7 +169,7 @@
 	}
 }
 
-// A holder counts a draw as spent that nobody settles.
+// A holder counts a draw as spent that is not settled within its lifetime.
 func TestDrawExpiresAsSpent(t *testing.T) {
 	f := newShared(func(int, bool) uint64 { return 100000 })
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -177,35 +178,35 @@
 	f.clock.Advance(2 * time.Minute)
 	f.wire(0).leases.request()
 	if reserved, spent := f.counts(0); reserved != 0 || spent != 1000 {
-		t.Fatalf("reserved %d, spent %d after the draw's time", reserved, spent)
+		t.Fatalf("reserved %d, spent %d after the draw's lifetime", reserved, spent)
 	}
 }
 
-// A release that overtakes its draw ends it.
+// A draw that arrives after its release is refused.
 func TestReleaseBeforeTheDraw(t *testing.T) {
 	l := holderWith("a", "near", 1000, clock.NewFake())
 	l.SettleDraws(&betweenv1.SettleDrawsRequest{Settlements: []*betweenv1.DrawSettlement{{Id: "d"}}})
 	if resp := l.Draw(context.Background(), &betweenv1.DrawRequest{Id: "d", Organisation: "o", Tokens: 10, Lifetime: 1000}); resp.GetOutcome() != betweenv1.DrawOutcome_DRAW_OUTCOME_SHORT {
-		t.Fatalf("a draw that was given up got %s", resp.GetOutcome())
+		t.Fatalf("a released draw got %s", resp.GetOutcome())
 	}
 }
 
-// A box that gives no answer is not asked again until its rest is over.
-func TestPeerRests(t *testing.T) {
+// A box that does not answer is not tried again until its suspension is over.
+func TestPeerIsSuspended(t *testing.T) {
 	f := newShared(func(int, bool) uint64 { return 100000 })
 	f.wire(0).loses["asks"] = true
 	f.Reserve(context.Background(), "o", 10, 0)
 	f.wire(0).loses["asks"] = false
 	if r, _, _ := f.Reserve(context.Background(), "o", 10, 0); r.Holder != f.order[1].Name {
-		t.Fatalf("asked %s at once after it gave no answer", r.Holder)
+		t.Fatalf("drew from %s right after the first holder did not answer", r.Holder)
 	}
-	f.clock.Advance(firstRest)
+	f.clock.Advance(firstSuspension)
 	if r, _, _ := f.Reserve(context.Background(), "o", 10, 0); r.Holder != f.order[0].Name {
-		t.Fatalf("drew at %s after the rest", r.Holder)
+		t.Fatalf("drew from %s after the suspension", r.Holder)
 	}
 }
 
-// A box without leases reports once in a while, so that it stays listed.
+// A box without leases reports less often, but enough to stay in the directory.
 func TestGuestReportsRarely(t *testing.T) {
 	c := clock.NewFake()
 	l := holderWith("guest", "near", 0, c)
@@ -213,17 +214,17 @@
 	if r := l.request(); r == nil || len(r.GetReports()) != 0 || r.GetAddress() != "guest" {
 		t.Fatalf("the first report is %v", r)
 	}
-	c.Advance(leaseInterval)
+	c.Advance(reportInterval)
 	if r := l.request(); r != nil {
-		t.Fatalf("it reports again after %s", leaseInterval)
+		t.Fatalf("the box reports again after %s", reportInterval)
 	}
 	c.Advance(presenceInterval)
 	if l.request() == nil {
-		t.Fatal("it does not report any more")
+		t.Fatal("the box does not report again")
 	}
 }
 
-// A box that has tokens itself asks no other one.
+// A box that has tokens does not draw from others.
 func TestOwnTokensGoFirst(t *testing.T) {
 	f := newShared(func(int, bool) uint64 { return 100000 })
 	f.Leases.table.Sample(f.clock.Boot())
@@ -233,16 +234,16 @@
 	}
 }
 
-// A box that draws much elsewhere says so.
+// A box that draws much from other boxes reports its demand.
 func TestHeavyGuestReports(t *testing.T) {
 	f := newShared(func(int, bool) uint64 { return 1 << 20 })
 	for range 8 {
 		f.Reserve(context.Background(), "o", 5000, 0)
-		f.clock.Advance(leaseInterval)
+		f.clock.Advance(reportInterval)
 		f.Leases.request()
 	}
 	f.clock.Advance(presenceInterval)
 	if r := f.Leases.request(); len(r.GetReports()) != 1 || r.GetReports()[0].GetRate() < 4000 {
-		t.Fatalf("it draws 16000 tokens a second and reports %v", r.GetReports())
+		t.Fatalf("the box draws 16000 tokens per second and reports %v", r.GetReports())
 	}
 }
--- a/services/gateway/store.go
+++ b/services/gateway/store.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package gateway keeps a box's copy of what calls need that are passed
-// through: the routing table, the registered targets and the leases of prepaid
-// budgets. It follows and asks the control boxes, whichever can be reached.
+// Package gateway keeps a box's copy of what forwarded calls depend on: the routing
+// table, the registered targets and the leases of prepaid budgets. It gets them from
+// any control box that it can reach.
 package gateway
 
 import (
@@ -23,23 +23,25 @@
 	"havenwinch.dev/havenwinch/services/control"
 )
 
-// Position is what a follower has: the version of its routing table, and the
-// revisions of its targets and of its quarantined calls.
+// Position is the state of a follower's copy: the version of its routing table, and
+// the revisions of its targets and of its quarantined calls.
 type Position struct{ Version, Targets, Quarantine uint64 }
 
-// Source is where followers are served from.
+// Source provides the changes that are sent to followers.
 type Source interface {
-	// After returns what came after what a follower has.
+	// After returns the changes after a follower's position.
 	After(has Position) *betweenv1.FollowResponse
-	// Changed is closed at the next change.
+	// Changed returns a channel that is closed at the next change.
 	Changed() <-chan struct{}
-	// Confirmed is how long ago the source was in step with the control group.
+	// Confirmed returns how long ago the source was last in sync with the control
+	// group.
 	Confirmed() time.Duration
 }
 
-// MachineSource serves followers from the replicated state.
+// MachineSource is the Source of a control box: its replicated state.
 type MachineSource struct {
-	Machine   *control.Machine
+	Machine *control.Machine
+	// OutOfStep returns how long ago this box was last in sync with the control group.
 	OutOfStep func() time.Duration
 	// Members returns the addresses of the control group's members.
 	Members func() []string
@@ -65,7 +67,7 @@
 		m.history.fill(resp, table, has.Version)
 		return resp
 	}
-	m.history.note(table)
+	m.history.add(table)
 	return resp
 }
 
@@ -75,35 +77,38 @@
 // Confirmed implements Source.
 func (m *MachineSource) Confirmed() time.Duration { return m.OutOfStep() }
 
-// Store is a box's copy. It moves forward only.
+// Store is a box's copy. Its versions and revisions never decrease.
 type Store struct {
-	// Quarantine are the calls that control has listed.
+	// Quarantine lists the quarantined calls that control has sent.
 	Quarantine quarantine.List
 
 	clock clock.Clock
 
-	mu        sync.Mutex
-	index     *routing.Index
-	targets   map[string]*statev1.RegisteredTarget
-	revision  uint64
-	changed   chan struct{}
-	confirmed time.Duration
-	known     bool
+	mu sync.Mutex
+	// index has the routing table in force, nil before the first.
+	index    *routing.Index
+	targets  map[string]*statev1.RegisteredTarget
+	revision uint64
+	changed  chan struct{}
+	// confirmedAt is the boot time at which the copy was last in sync with the control
+	// group, everConfirmed whether it ever was.
+	confirmedAt   time.Duration
+	everConfirmed bool
 }
 
-// NewStore returns an empty copy.
+// NewStore returns an empty store.
 func NewStore(c clock.Clock) *Store {
 	return &Store{clock: c, targets: map[string]*statev1.RegisteredTarget{}, changed: make(chan struct{})}
 }
 
-// Index returns the table in force, nil before the first.
+// Index returns the index of the routing table in force, nil before the first.
 func (s *Store) Index() *routing.Index {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.index
 }
 
-// Position returns how far the copy is.
+// Position returns the position to follow control from.
 func (s *Store) Position() Position {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,14 +122,14 @@
 	return s.index.Table.GetVersion()
 }
 
-// Target returns the row of a target, nil when it is not known.
+// Target returns the row of a target, nil if it is unknown.
 func (s *Store) Target(id string) *statev1.RegisteredTarget {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.targets[id]
 }
 
-// Targets returns all rows, those gone included, and their revision.
+// Targets returns all rows in no particular order, and the targets' revision.
 func (s *Store) Targets() ([]*statev1.RegisteredTarget, uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,14 +147,15 @@
 	return s.changed
 }
 
-// Confirmed implements Source.
+// Confirmed implements Source. Before the first message it returns the time since
+// boot.
 func (s *Store) Confirmed() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.known {
+	if !s.everConfirmed {
 		return s.clock.Boot()
 	}
-	return s.clock.Boot() - s.confirmed
+	return s.clock.Boot() - s.confirmedAt
 }
 
 // After implements Source.
@@ -173,9 +179,9 @@
 	return resp
 }
 
-// Take takes a message of a control box in and tells what is new. A message
-// that can't be read, or that changes another table than the one held, changes
-// nothing.
+// Take applies a message of a control box and reports what it changed. A message that
+// can't be decoded, or whose delta has another base than the table in force, changes
+// nothing and returns an error. Older versions are ignored.
 func (s *Store) Take(r *betweenv1.FollowResponse) (newTable, newTargets bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -183,14 +189,14 @@
 	if err != nil {
 		return false, false, err
 	}
-	s.confirmed = s.clock.Boot() - time.Duration(r.GetConfirmed())*time.Millisecond
-	s.known = true
+	s.confirmedAt = s.clock.Boot() - time.Duration(r.GetConfirmed())*time.Millisecond
+	s.everConfirmed = true
 	if t != nil && t.GetVersion() > s.versionLocked() {
 		s.index = routing.NewIndex(t)
 		newTable = true
 	}
 	if r.GetTargetRevision() > s.revision {
-		s.takeTargets(r)
+		s.applyTargets(r)
 		newTargets = true
 	}
 	newCalls := s.Quarantine.Take(r.GetQuarantine(), r.GetQuarantineRevision(), r.GetQuarantineReports())
@@ -201,7 +207,7 @@
 	return newTable, newTargets, nil
 }
 
-// tableOf returns the table that a message brings, nil for none.
+// tableOf returns the routing table that a message brings, nil if there is none.
 func (s *Store) tableOf(r *betweenv1.FollowResponse) (*statev1.RoutingTable, error) {
 	switch {
 	case r.GetDelta() != nil && r.GetDelta().GetChanged().GetVersion() > s.versionLocked():
@@ -217,7 +223,7 @@
 	}
 }
 
-func (s *Store) takeTargets(r *betweenv1.FollowResponse) {
+func (s *Store) applyTargets(r *betweenv1.FollowResponse) {
 	if r.GetAllTargets() {
 		s.targets = map[string]*statev1.RegisteredTarget{}
 	}
@@ -231,7 +237,8 @@
 	s.revision = r.GetTargetRevision()
 }
 
-// unique returns addresses without repeats in their first order.
+// unique returns the addresses without empty ones and duplicates, in order of their
+// first occurrence.
 func unique(addresses []string) []string {
 	var list []string
 	for _, a := range addresses {
