--- a/services/configuration/feed.go
+++ b/services/configuration/feed.go
@@ -22,38 +22,41 @@
 )
 
 const (
-	// signOfLife is the time between messages when nothing changes.
-	signOfLife = time.Second
-	// silence is how long an upstream may say nothing.
-	silence = 3 * time.Second
-	// maxAge is how old an upstream's confirmation may be before others are
-	// tried.
-	maxAge = 4 * time.Second
-
-	retryFirst = 50 * time.Millisecond
-	retryMost  = 2 * time.Second
+	// keepaliveInterval is the time between keepalive messages.
+	keepaliveInterval = time.Second
+	// silenceTimeout is how long an upstream may send nothing before the connection to it
+	// is closed.
+	silenceTimeout = 3 * time.Second
+	// maxConfirmedAge is the age of an upstream's confirmation by control above which other
+	// upstreams are tried.
+	maxConfirmedAge = 4 * time.Second
+
+	initialRetryDelay = 50 * time.Millisecond
+	maxRetryDelay     = 2 * time.Second
 )
 
-// Position is what a watcher has: the revisions of its configuration and of its
-// quarantined calls.
+// Position is the state of a watcher's copy: the revisions of its configuration and
+// of its quarantined calls.
 type Position struct{ Revision, Quarantine uint64 }
 
-// PositionOf returns the position that a watcher names.
+// PositionOf returns the position in a watcher's request.
 func PositionOf(r *betweenv1.WatchRequest) Position {
 	return Position{Revision: r.GetRevision(), Quarantine: r.GetQuarantineRevision()}
 }
 
-// Source is where a feed comes from: the replicated state or a box's copy.
+// Source is the origin of a feed: the replicated state or a box's copy.
 type Source interface {
+	// Since returns the changes after a watcher's position.
 	Since(has Position) *betweenv1.WatchResponse
+	// Changed returns a channel that is closed at the next change.
 	Changed() <-chan struct{}
 }
 
-// MachineSource feeds from the replicated state of a control box. Only what
-// is committed is applied there, so what it feeds never reverts.
+// MachineSource is the Source of a control box: its replicated state. Only committed
+// entries are applied to it, so that changes in the feed are never reverted.
 type MachineSource struct {
 	Machine *control.Machine
-	// Confirmed tells how long ago this box was last in touch with the group.
+	// Confirmed returns how long ago this box was last in sync with the control group.
 	Confirmed func() time.Duration
 }
 
@@ -61,7 +64,7 @@
 func (m MachineSource) Since(has Position) *betweenv1.WatchResponse {
 	var resp *betweenv1.WatchResponse
 	m.Machine.Read(func(st *state.State) {
-		resp = since(st, has.Revision)
+		resp = changesSince(st, has.Revision)
 		resp.Quarantine, resp.QuarantineRevision = st.Quarantine.After(has.Quarantine)
 		resp.QuarantineReports = st.Quarantine.Reports()
 	})
@@ -72,10 +75,10 @@
 // Changed implements Source.
 func (m MachineSource) Changed() <-chan struct{} { return m.Machine.Changed() }
 
-// Serve sends a watcher everything after what it has, until it leaves or the box
-// stops.
+// Serve sends a watcher all changes after its position, and a keepalive message
+// after keepaliveInterval without one, until the context is done or send fails.
 func Serve(ctx context.Context, source Source, has Position, send func(*betweenv1.WatchResponse) error) error {
-	ticker := time.NewTicker(signOfLife)
+	ticker := time.NewTicker(keepaliveInterval)
 	defer ticker.Stop()
 	for {
 		changed := source.Changed()
@@ -94,31 +97,33 @@
 	}
 }
 
-// Follower keeps a Store in step with an upstream.
+// Follower keeps a Store up to date from an upstream.
 type Follower struct {
 	Box      string
 	Store    *Store
 	Recorder *timeline.Recorder
 	Logger   *slog.Logger
-	// Upstreams returns addresses in the order of preference.
+	// Upstreams returns the addresses of upstreams in order of preference.
 	Upstreams func() []string
-	Connect   func(address string) betweenv1connect.ConfigurationServiceClient
+	// Connect returns a client of the box at an address.
+	Connect func(address string) betweenv1connect.ConfigurationServiceClient
 
 	once  sync.Once
-	first chan struct{}
+	ready chan struct{}
 }
 
-// Ready returns a channel that is closed after the first message.
+// Ready returns a channel that is closed once the store has accepted a message.
 func (f *Follower) Ready() <-chan struct{} {
-	f.once.Do(func() { f.first = make(chan struct{}) })
-	return f.first
+	f.once.Do(func() { f.ready = make(chan struct{}) })
+	return f.ready
 }
 
-// Run follows until the context ends.
+// Run follows the upstreams in turn until the context is done. After all have failed
+// it waits, with exponential backoff.
 func (f *Follower) Run(ctx context.Context) {
 	ready := f.Ready()
 	wait := backoff.NewExponentialBackOff()
-	wait.InitialInterval, wait.MaxInterval = retryFirst, retryMost
+	wait.InitialInterval, wait.MaxInterval = initialRetryDelay, maxRetryDelay
 	for ctx.Err() == nil {
 		for _, address := range f.Upstreams() {
 			err := f.follow(ctx, address, func(fresh bool) {
@@ -128,10 +133,10 @@
 				select {
 				case <-ready:
 				default:
-					close(f.first)
+					close(f.ready)
 				}
 			})
-			f.Logger.Debug("a configuration feed ended", "upstream", address, "error", err)
+			f.Logger.Debug("configuration feed ended", "upstream", address, "error", err)
 			if ctx.Err() != nil {
 				return
 			}
@@ -147,12 +152,14 @@
 	}
 }
 
-// follow takes messages of one upstream in until it fails, falls silent or
-// turns out to be behind.
+// follow applies the messages of one upstream until the stream ends, nothing is
+// received for silenceTimeout, or the upstream turns out to be outdated. progress is called
+// after each message with whether control has confirmed the upstream within
+// maxConfirmedAge.
 func (f *Follower) follow(ctx context.Context, address string, progress func(fresh bool)) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	watchdog := time.AfterFunc(silence, cancel)
+	watchdog := time.AfterFunc(silenceTimeout, cancel)
 	defer watchdog.Stop()
 	has := f.Store.Position()
 	r := &betweenv1.WatchRequest{Box: f.Box, Revision: has.Revision, QuarantineRevision: has.Quarantine}
@@ -162,7 +169,7 @@
 	}
 	defer stream.Close()
 	for stream.Receive() {
-		watchdog.Reset(silence)
+		watchdog.Reset(silenceTimeout)
 		resp := stream.Msg()
 		before := f.Store.Revision()
 		current, err := f.Store.Take(resp)
@@ -170,15 +177,15 @@
 			return err
 		}
 		if !current {
-			return errors.Errorf("upstream %s is at revision %d, behind this box", address, resp.GetRevision())
+			return errors.Errorf("upstream %s is at revision %d, older than the one of this box", address, resp.GetRevision())
 		}
 		if after := f.Store.Revision(); after != before {
 			f.Recorder.Record("configuration", "", "revision "+strconv.FormatUint(after, 10)+" in force")
 		}
-		fresh := resp.GetConfirmedAgo() <= maxAge.Milliseconds()
+		fresh := resp.GetConfirmedAgo() <= maxConfirmedAge.Milliseconds()
 		progress(fresh)
 		if !fresh {
-			return errors.Errorf("upstream %s has been cut off from control", address)
+			return errors.Errorf("upstream %s has lost the connection to control", address)
 		}
 	}
 	return stream.Err()
--- a/services/configuration/store.go
+++ b/services/configuration/store.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package configuration brings every accepted change to every box: control
-// boxes to relays, relays to the boxes of their data centre. A box's copy only
-// ever moves to higher revisions.
+// Package configuration distributes every accepted change to every box: from control
+// boxes to relays, and from relays to the boxes of their data centre. The revision of
+// a box's copy never decreases.
 package configuration
 
 import (
@@ -21,26 +21,31 @@
 	"havenwinch.dev/havenwinch/modules/disk"
 )
 
-// fileName is where a box with a disk keeps its copy.
+// fileName is the file of the copy on a box that has a disk.
 const fileName = "configuration"
 
 // Store is a box's copy of the configuration.
 type Store struct {
-	// Quarantine are the calls that control has listed; it is not kept on the disk.
+	// Quarantine lists the quarantined calls that control has sent. It is not stored
+	// on the disk.
 	Quarantine quarantine.List
 
 	clock clock.Clock
 	disk  disk.Disk
 
-	mu        sync.RWMutex
-	state     *state.State
-	confirmed time.Duration
-	known     bool
-	changed   chan struct{}
-	keepers   []*statev1.KeeperMember
+	mu    sync.RWMutex
+	state *state.State
+	// confirmedAt is the boot time at which a control box last confirmed the revision,
+	// everConfirmed whether any has since the box started.
+	confirmedAt   time.Duration
+	everConfirmed bool
+	changed       chan struct{}
+	// keepers are the keepers of state, sorted by name.
+	keepers []*statev1.KeeperMember
 }
 
-// NewStore returns a copy, filled from the disk when there is one.
+// NewStore returns a store with the copy on the disk, or an empty one if there is
+// none. Without a disk, d is nil.
 func NewStore(c clock.Clock, d disk.Disk) (*Store, error) {
 	s := &Store{clock: c, disk: d, state: state.New(), changed: make(chan struct{})}
 	if d == nil {
@@ -55,19 +60,19 @@
 	}
 	var stored statev1.Configuration
 	if err := proto.Unmarshal(data, &stored); err != nil {
-		return nil, errors.Wrap(err, "the stored configuration can't be read: remove the file configuration from the data folder")
+		return nil, errors.Wrap(err, "failed to decode the stored configuration; remove the file configuration from the data directory")
 	}
 	s.state.LoadConfiguration(&stored)
-	s.derive()
+	s.sortKeepers()
 	return s, nil
 }
 
-// Read lets a function look at the configuration; rows never change once they
-// stand in it, so they may be kept.
-func (s *Store) Read(look func(st *state.State)) {
+// Read calls fn with the configuration, under the read lock. fn may keep rows, as they
+// are never modified in place.
+func (s *Store) Read(fn func(st *state.State)) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	look(s.state)
+	fn(s.state)
 }
 
 // Revision returns the revision in force.
@@ -77,40 +82,40 @@
 	return s.state.Revision
 }
 
-// Position returns how far the copy is.
+// Position returns the position to watch an upstream from.
 func (s *Store) Position() Position {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return Position{Revision: s.state.Revision, Quarantine: s.Quarantine.Revision()}
 }
 
-// Value returns a rolled-out value.
+// Value returns the value of a rollout, its default if it is not set.
 func (s *Store) Value(name string) int {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return int(s.state.Value(name))
 }
 
-// Keepers returns the rows of all keepers in the order of their names.
+// Keepers returns all keepers, sorted by name.
 func (s *Store) Keepers() []*statev1.KeeperMember {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.keepers
 }
 
-// Drained tells whether operators have drained a box or a target.
+// Drained reports whether operators have drained a box or a target.
 func (s *Store) Drained(kind statev1.Drain_Kind, name string) bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.state.Drains[state.DrainKey(kind, name)] != nil
 }
 
-// ConfirmedAgo returns how long ago a control box last confirmed the revision,
-// and false when none has since the box started.
+// ConfirmedAgo returns how long ago a control box last confirmed the revision, and
+// false if none has since the box started.
 func (s *Store) ConfirmedAgo() (time.Duration, bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.clock.Boot() - s.confirmed, s.known
+	return s.clock.Boot() - s.confirmedAt, s.everConfirmed
 }
 
 // Changed returns a channel that is closed at the next change.
@@ -120,24 +125,26 @@
 	return s.changed
 }
 
-// Since returns what a watcher at a revision lacks.
+// Since implements Source.
 func (s *Store) Since(has Position) *betweenv1.WatchResponse {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	resp := since(s.state, has.Revision)
+	resp := changesSince(s.state, has.Revision)
 	resp.Quarantine, resp.QuarantineRevision = s.Quarantine.After(has.Quarantine)
 	resp.QuarantineReports = s.Quarantine.Reports()
-	resp.ConfirmedAgo = (s.clock.Boot() - s.confirmed).Milliseconds()
-	if !s.known {
-		resp.ConfirmedAgo = unconfirmed.Milliseconds()
+	resp.ConfirmedAgo = (s.clock.Boot() - s.confirmedAt).Milliseconds()
+	if !s.everConfirmed {
+		resp.ConfirmedAgo = unconfirmedAge.Milliseconds()
 	}
 	return resp
 }
 
-// unconfirmed stands for an age that is not known.
-const unconfirmed = 365 * 24 * time.Hour
+// unconfirmedAge is the age that is sent while no control box has confirmed the copy.
+const unconfirmedAge = 365 * 24 * time.Hour
 
-func since(st *state.State, revision uint64) *betweenv1.WatchResponse {
+// changesSince returns the changes after a revision, or the whole configuration if they
+// are not kept any more.
+func changesSince(st *state.State, revision uint64) *betweenv1.WatchResponse {
 	resp := &betweenv1.WatchResponse{Revision: st.Revision}
 	changes, ok := st.ChangesAfter(revision)
 	if !ok {
@@ -148,8 +155,9 @@
 	return resp
 }
 
-// Take takes a message of the feed in. It returns false when the sender is
-// behind this copy, which is then left as it is.
+// Take applies a message of the feed and saves the copy if its revision has changed. It
+// returns false if the sender's revision is older than this copy's, which then stays as
+// it is. An error means that the copy could not be saved; in memory it is updated then.
 func (s *Store) Take(r *betweenv1.WatchResponse) (bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -167,8 +175,8 @@
 		s.state.Put(c)
 		s.state.Changes = append(s.state.Changes, c)
 	}
-	s.trim()
-	s.confirm(r)
+	s.trimChanges()
+	s.recordConfirmation(r)
 	newCalls := s.Quarantine.Take(r.GetQuarantine(), r.GetQuarantineRevision(), r.GetQuarantineReports())
 	if s.state.Revision == before && !newCalls {
 		return true, nil
@@ -178,28 +186,31 @@
 	if s.state.Revision == before {
 		return true, nil
 	}
-	s.derive()
+	s.sortKeepers()
 	return true, s.save()
 }
 
-func (s *Store) trim() {
+// trimChanges drops the oldest changes. The caller must hold s.mu.
+func (s *Store) trimChanges() {
 	if len(s.state.Changes) > 2*state.MaxChanges {
 		s.state.Changes = append([]*statev1.Change(nil), s.state.Changes[len(s.state.Changes)-state.MaxChanges:]...)
 	}
 }
 
-func (s *Store) confirm(r *betweenv1.WatchResponse) {
+// recordConfirmation records when control last confirmed the revision, if the message
+// has the same revision. The caller must hold s.mu.
+func (s *Store) recordConfirmation(r *betweenv1.WatchResponse) {
 	ago := time.Duration(r.GetConfirmedAgo()) * time.Millisecond
-	if s.state.Revision != r.GetRevision() || ago >= unconfirmed {
+	if s.state.Revision != r.GetRevision() || ago >= unconfirmedAge {
 		return
 	}
 	at := s.clock.Boot() - ago
-	if !s.known || at > s.confirmed {
-		s.confirmed, s.known = at, true
+	if !s.everConfirmed || at > s.confirmedAt {
+		s.confirmedAt, s.everConfirmed = at, true
 	}
 }
 
-func (s *Store) derive() { s.keepers = state.Sorted(s.state.Keepers) }
+func (s *Store) sortKeepers() { s.keepers = state.Sorted(s.state.Keepers) }
 
 func (s *Store) save() error {
 	if s.disk == nil {
--- a/services/timeline/logs.go
+++ b/services/timeline/logs.go
@@ -17,25 +17,26 @@
 	"havenwinch.dev/havenwinch/structs"
 )
 
-// maxLogLine bounds a line of a saved log, in bytes.
+// maxLogLine is the maximum length of a line of a saved log, in bytes.
 const maxLogLine = 1 << 20
 
-// logLine is a line of a saved log with the fields that all lines have.
+// logLine is a parsed line of a saved log.
 type logLine struct {
 	at      time.Time
 	message string
 	fields  map[string]any
 }
 
-func (l logLine) text(field string) string {
+// stringField returns a field that is a string, and "" for any other.
+func (l logLine) stringField(field string) string {
 	text, _ := l.fields[field].(string)
 	return text
 }
 
-// Logs are saved log lines of any boxes.
+// Logs are saved log lines of one or more boxes.
 type Logs struct {
 	lines []logLine
-	// Unread counts lines that are no JSON lines of a box.
+	// Unread counts the lines that are not JSON log lines of a box.
 	Unread int
 }
 
@@ -54,8 +55,8 @@
 	return lines.Err()
 }
 
-// parseLogLine reads a JSON line; what stands before the first brace is passed
-// over, as collectors of logs put a box's name there.
+// parseLogLine parses a JSON line. It ignores everything before the first brace, as log
+// collectors put the name of the box there.
 func parseLogLine(data []byte) (logLine, bool) {
 	text := string(data)
 	begin := strings.IndexByte(text, '{')
@@ -66,20 +67,20 @@
 	if json.Unmarshal([]byte(text[begin:]), &line.fields) != nil {
 		return logLine{}, false
 	}
-	at, err := time.Parse(time.RFC3339Nano, line.text("time"))
-	line.at, line.message = at, line.text("msg")
+	at, err := time.Parse(time.RFC3339Nano, line.stringField("time"))
+	line.at, line.message = at, line.stringField("msg")
 	return line, err == nil && line.message != ""
 }
 
-// Request returns the lines of a request in the order of their time, and of the
-// boxes and targets that it met those lines within a time around it that belong
-// to no other request.
+// Request returns the lines of a request, and the lines without a request that name a
+// box or a target of these and lie at most the duration around before its first or
+// after its last line. They are sorted by time.
 func (l *Logs) Request(request string, around time.Duration) []structs.Event {
 	var own []logLine
 	var first, last time.Time
 	met := map[string]bool{}
 	for _, line := range l.lines {
-		if line.text("request") != request {
+		if line.stringField("request") != request {
 			continue
 		}
 		own = append(own, line)
@@ -89,7 +90,7 @@
 		if line.at.After(last) {
 			last = line.at
 		}
-		for _, name := range line.names() {
+		for _, name := range line.boxAndTargets() {
 			met[name] = true
 		}
 	}
@@ -97,7 +98,7 @@
 		return nil
 	}
 	for _, line := range l.lines {
-		if line.text("request") == "" && !line.at.Before(first.Add(-around)) && !line.at.After(last.Add(around)) && slices.ContainsFunc(line.names(), func(name string) bool { return met[name] }) {
+		if line.stringField("request") == "" && !line.at.Before(first.Add(-around)) && !line.at.After(last.Add(around)) && slices.ContainsFunc(line.boxAndTargets(), func(name string) bool { return met[name] }) {
 			own = append(own, line)
 		}
 	}
@@ -109,10 +110,10 @@
 	return events
 }
 
-// names returns the box and the targets of a line.
-func (l logLine) names() []string {
-	names := []string{l.text("box")}
-	if target := l.text("target"); target != "" {
+// boxAndTargets returns the box and the targets that a line names.
+func (l logLine) boxAndTargets() []string {
+	names := []string{l.stringField("box")}
+	if target := l.stringField("target"); target != "" {
 		names = append(names, target)
 	}
 	targets, _ := l.fields["targets"].([]any)
@@ -123,7 +124,7 @@
 	return names
 }
 
-// event returns a line as an event of a time line.
+// event converts a line to a timeline event.
 func (l logLine) event() structs.Event {
 	var detail []string
 	for field, value := range l.fields {
@@ -135,7 +136,7 @@
 	}
 	sort.Strings(detail)
 	return structs.Event{
-		Stamp: hlc.Stamp{Milli: l.at.UnixMilli()}.String(), Box: l.text("box"), DataCentre: l.text("data_centre"),
-		Kind: l.message, Request: l.text("request"), Detail: strings.Join(detail, " "),
+		Stamp: hlc.Stamp{Milli: l.at.UnixMilli()}.String(), Box: l.stringField("box"), DataCentre: l.stringField("data_centre"),
+		Kind: l.message, Request: l.stringField("request"), Detail: strings.Join(detail, " "),
 	}
 }
--- a/services/timeline/timeline.go
+++ b/services/timeline/timeline.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package timeline keeps the newest events of a box for the merged time line
-// over all processes. Events hold no prompt, key or prefix.
+// Package timeline keeps the newest events of a box, for a timeline that is merged
+// from all processes. Events contain no prompts, keys or prefixes.
 package timeline
 
 import (
@@ -14,10 +14,11 @@
 	"havenwinch.dev/havenwinch/structs"
 )
 
-// Capacity is how many events a box keeps.
+// Capacity is the number of events that a box keeps.
 const Capacity = 16 << 10
 
-// Recorder keeps events in a ring.
+// Recorder keeps the newest Capacity events in a ring buffer. It is safe for concurrent
+// use.
 type Recorder struct {
 	box        string
 	dataCentre string
@@ -25,15 +26,16 @@
 
 	mu   sync.Mutex
 	ring []structs.Event
+	// next is the index of the oldest event once the ring is full.
 	next int
 }
 
-// New returns a recorder for a box.
 func New(box, dataCentre string, clock *hlc.Clock) *Recorder {
 	return &Recorder{box: box, dataCentre: dataCentre, clock: clock}
 }
 
-// Record notes an event of a request, or of none.
+// Record adds an event with the current time. request is empty for an event that
+// belongs to no request.
 func (r *Recorder) Record(kind, request, detail string) {
 	e := structs.Event{
 		Stamp:      r.clock.Now().String(),
@@ -53,7 +55,8 @@
 	r.next = (r.next + 1) % Capacity
 }
 
-// Events returns the kept events of a request, or all when it is empty.
+// Events returns the kept events of a request in causal order, and all events if
+// request is empty.
 func (r *Recorder) Events(request string) []structs.Event {
 	r.mu.Lock()
 	events := make([]structs.Event, 0, len(r.ring))
@@ -68,7 +71,7 @@
 	return events
 }
 
-// Sort puts events of any boxes into their causal order.
+// Sort sorts events of any boxes into causal order, and those with equal stamps by box.
 func Sort(events []structs.Event) {
 	sort.SliceStable(events, func(i, j int) bool {
 		a, b := hlc.Parse(events[i].Stamp), hlc.Parse(events[j].Stamp)
@@ -81,12 +84,12 @@
 
 type requestKey struct{}
 
-// WithRequest marks a context with the request it works for.
+// WithRequest returns a context with the id of the request that is handled in it.
 func WithRequest(ctx context.Context, request string) context.Context {
 	return context.WithValue(ctx, requestKey{}, request)
 }
 
-// RequestOf returns the request that a context works for.
+// RequestOf returns the request id of a context, "" if it has none.
 func RequestOf(ctx context.Context) string {
 	request, _ := ctx.Value(requestKey{}).(string)
 	return request
