--- a/services/control/control.go
+++ b/services/control/control.go
@@ -144,17 +144,17 @@
 		return nil, err
 	}
 	s.markActive(m)
-	var missing []recall
+	var recalls []recall
 	if !m.GetLeaving() {
-		m.Grants, missing = s.plan(m.GetHolder(), m.GetReports())
+		m.Grants, recalls = s.plan(m.GetHolder(), m.GetReports())
 	}
 	if len(m.GetReports())+len(m.GetUsages()) > 0 {
 		if err := s.proposeSync(ctx, m); err != nil {
 			return nil, err
 		}
 	}
-	urgent, later := splitByNeed(missing, m.GetReports())
-	s.recallInBackground(later)
+	urgent, background := splitByNeed(recalls, m.GetReports())
+	s.recallInBackground(background)
 	if len(urgent) > 0 {
 		s.recallAndWait(ctx, urgent)
 		again, _ := s.plan(m.GetHolder(), m.GetReports())
@@ -198,7 +198,7 @@
 
 // plan applies the policy to each reported budget. It returns the grants to commit
 // and the recalls to make for what is still missing.
-func (s *Service) plan(holder string, reports []*statev1.BudgetReport) (grants []*statev1.Grant, missing []recall) {
+func (s *Service) plan(holder string, reports []*statev1.BudgetReport) (grants []*statev1.Grant, recalls []recall) {
 	s.opts.Machine.Read(func(st *state.State) {
 		keepers := state.Sorted(st.Keepers)
 		for _, r := range reports {
@@ -214,17 +214,17 @@
 			if plan.Grant > 0 {
 				grants = append(grants, &statev1.Grant{Budget: b.Name, Tokens: plan.Grant})
 			}
-			for _, one := range plan.Spread {
-				if s.isActive(one.Holder) {
-					grants = append(grants, &statev1.Grant{Budget: b.Name, Tokens: one.Tokens, Holder: one.Holder})
+			for _, share := range plan.Spread {
+				if s.isActive(share.Holder) {
+					grants = append(grants, &statev1.Grant{Budget: b.Name, Tokens: share.Tokens, Holder: share.Holder})
 				}
 			}
-			for _, one := range plan.Recalls {
-				missing = append(missing, recall{budget: b.Name, holder: one.Holder, asker: holder, tokens: one.Tokens, address: addressOf(st, one.Holder)})
+			for _, rec := range plan.Recalls {
+				recalls = append(recalls, recall{budget: b.Name, holder: rec.Holder, asker: holder, tokens: rec.Tokens, address: addressOf(st, rec.Holder)})
 			}
 		}
 	})
-	return grants, missing
+	return grants, recalls
 }
 
 // policyInput returns the policy's input: all ledgers in force, with the numbers of r
--- a/services/control/directory_test.go
+++ b/services/control/directory_test.go
@@ -99,7 +99,7 @@
 
 // The directory survives a partition from all entry boxes, and a leader that has
 // received no reports for a while does not publish it before directoryWarmup has passed.
-func TestDirectoryOutlivesACut(t *testing.T) {
+func TestDirectorySurvivesPartition(t *testing.T) {
 	cases := map[string]struct {
 		away time.Duration
 		// boxes is the number of boxes in the first directory after that.
--- a/services/control/gateway.go
+++ b/services/control/gateway.go
@@ -188,13 +188,14 @@
 const heavyDemandDivisor = 12
 
 // leaseRole returns whether a box should hold a lease of an organisation's budget. A
-// box without an address, at which others can't draw, holds its own lease, and so
-// does one that causes at least 1/heavyDemandDivisor of the organisation's demand. For a
-// box that has a lease half of that is enough, as hysteresis.
-func leaseRole(r *betweenv1.LeaseRequest, d *lease.Directory, report *betweenv1.LeaseReport, rate uint64, has bool) allot.LeasePart {
-	parts := uint64(heavyDemandDivisor)
-	if has {
-		parts *= 2
+// box without an address, at which others can't draw, holds its own lease. So does one
+// that the directory d assigns to the organisation, and one that causes at least
+// 1/heavyDemandDivisor of the organisation's demand; for a box that has a lease half of
+// that is enough, as hysteresis. Without a directory the role is undecided.
+func leaseRole(r *betweenv1.LeaseRequest, d *lease.Directory, report *betweenv1.LeaseReport, rate uint64, hasLease bool) allot.LeasePart {
+	divisor := uint64(heavyDemandDivisor)
+	if hasLease {
+		divisor *= 2
 	}
 	switch {
 	case r.GetAddress() == "":
@@ -203,7 +204,7 @@
 		return allot.LeaseUndecided
 	case d.Holds(r.GetBox(), r.GetDataCentre(), report.GetOrganisation()):
 		return allot.LeaseHolder
-	case report.GetRate() > 0 && report.GetRate()*parts >= rate:
+	case report.GetRate() > 0 && report.GetRate()*divisor >= rate:
 		return allot.LeaseHolder
 	default:
 		return allot.LeaseGuest
--- a/services/control/recall.go
+++ b/services/control/recall.go
@@ -46,27 +46,27 @@
 
 // splitByNeed separates recalls for budgets on which requests of the reporting
 // holder wait from those that can be made in the background.
-func splitByNeed(list []recall, reports []*statev1.BudgetReport) (urgent, later []recall) {
+func splitByNeed(list []recall, reports []*statev1.BudgetReport) (urgent, background []recall) {
 	needed := map[string]bool{}
 	for _, r := range reports {
 		needed[r.GetBudget()] = r.GetNeed() > 0
 	}
-	for _, one := range list {
-		if needed[one.budget] {
-			urgent = append(urgent, one)
+	for _, rec := range list {
+		if needed[rec.budget] {
+			urgent = append(urgent, rec)
 		} else {
-			later = append(later, one)
+			background = append(background, rec)
 		}
 	}
-	return urgent, later
+	return urgent, background
 }
 
 func (s *Service) recallInBackground(list []recall) {
-	for _, one := range list {
+	for _, rec := range list {
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), recallTimeout)
 			defer cancel()
-			s.recallFrom(ctx, one)
+			s.recallFrom(ctx, rec)
 		}()
 	}
 }
@@ -75,11 +75,11 @@
 	ctx, cancel := context.WithTimeout(ctx, recallTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
-	for _, one := range list {
+	for _, rec := range list {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			s.recallFrom(ctx, one)
+			s.recallFrom(ctx, rec)
 		}()
 	}
 	wg.Wait()
@@ -87,22 +87,22 @@
 
 // recallFrom recalls tokens from a holder and commits its answer. If the answer is
 // lost, the holder's next report includes what it returned.
-func (s *Service) recallFrom(ctx context.Context, one recall) {
-	key := one.budget + "\x00" + one.holder
+func (s *Service) recallFrom(ctx context.Context, rec recall) {
+	key := rec.budget + "\x00" + rec.holder
 	if !s.recalls.begin(key) {
 		return
 	}
 	defer s.recalls.end(key)
-	resp, err := s.opts.Holders.Recall(ctx, one.address, &betweenv1.RecallRequest{Budget: one.budget, Tokens: one.tokens, Asker: one.asker})
+	resp, err := s.opts.Holders.Recall(ctx, rec.address, &betweenv1.RecallRequest{Budget: rec.budget, Tokens: rec.tokens, Asker: rec.asker})
 	if err != nil {
-		s.opts.Logger.Debug("recall failed", "holder", one.holder, "error", err)
+		s.opts.Logger.Debug("recall failed", "holder", rec.holder, "error", err)
 		return
 	}
-	if resp.GetHolder() != one.holder {
+	if resp.GetHolder() != rec.holder {
 		return
 	}
-	m := &statev1.Sync{Holder: one.holder, Reports: []*statev1.BudgetReport{resp.GetReport()}}
+	m := &statev1.Sync{Holder: rec.holder, Reports: []*statev1.BudgetReport{resp.GetReport()}}
 	if err := s.proposeSync(ctx, m); err != nil {
-		s.opts.Logger.Debug("failed to record returned tokens; the holder's next report includes them", "holder", one.holder, "error", err)
+		s.opts.Logger.Debug("failed to record returned tokens; the holder's next report includes them", "holder", rec.holder, "error", err)
 	}
 }
--- a/services/control/reclaim.go
+++ b/services/control/reclaim.go
@@ -129,8 +129,8 @@
 			a := b.Of(holder)
 			free := state.FreeAtReport(a)
 			held += free
-			if most := lease.MostUsed(a.GetBasis(), elapsed); free > most {
-				m.Changes = append(m.Changes, &statev1.LeaseChange{Organisation: b.Name, Returned: free - most})
+			if maxUsed := lease.MostUsed(a.GetBasis(), elapsed); free > maxUsed {
+				m.Changes = append(m.Changes, &statev1.LeaseChange{Organisation: b.Name, Returned: free - maxUsed})
 			}
 		}
 	})
