--- a/services/control/recall.go
+++ b/services/control/recall.go
@@ -11,7 +11,7 @@
 	statev1 "havenwinch.dev/havenwinch/gen/havenwinch/state/v1"
 )
 
-// recall asks one holder for free tokens of one budget.
+// recall is a request to one holder to return free tokens of one budget.
 type recall struct {
 	budget  string
 	holder  string
@@ -20,85 +20,89 @@
 	tokens  uint64
 }
 
-// recalls keeps two recalls of the same tokens from being under way at once.
-type recalls struct {
-	mu   sync.Mutex
-	busy map[string]bool
+// recallTracker tracks the recalls in flight, so that there is at most one for each budget
+// and holder.
+type recallTracker struct {
+	mu       sync.Mutex
+	inFlight map[string]bool
 }
 
-func (r *recalls) begin(key string) bool {
+// begin reports whether no recall with this key was in flight, and registers one if so.
+func (r *recallTracker) begin(key string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.busy[key] {
+	if r.inFlight[key] {
 		return false
 	}
-	r.busy[key] = true
+	r.inFlight[key] = true
 	return true
 }
 
-func (r *recalls) end(key string) {
+func (r *recallTracker) end(key string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.busy, key)
+	delete(r.inFlight, key)
 }
 
-func splitByNeed(list []recall, reports []*statev1.BudgetReport) (urgent, later []recall) {
+// splitByNeed separates recalls for budgets on which requests of the reporting
+// holder wait from those that can be made in the background.
+func splitByNeed(list []recall, reports []*statev1.BudgetReport) (urgent, background []recall) {
 	needed := map[string]bool{}
 	for _, r := range reports {
 		needed[r.GetBudget()] = r.GetNeed() > 0
 	}
-	for _, one := range list {
-		if needed[one.budget] {
-			urgent = append(urgent, one)
+	for _, rec := range list {
+		if needed[rec.budget] {
+			urgent = append(urgent, rec)
 		} else {
-			later = append(later, one)
+			background = append(background, rec)
 		}
 	}
-	return urgent, later
+	return urgent, background
 }
 
-func (s *Service) recallLater(list []recall) {
-	for _, one := range list {
+func (s *Service) recallInBackground(list []recall) {
+	for _, rec := range list {
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), recallTimeout)
 			defer cancel()
-			s.recallOne(ctx, one)
+			s.recallFrom(ctx, rec)
 		}()
 	}
 }
 
-func (s *Service) recallNow(ctx context.Context, list []recall) {
+func (s *Service) recallAndWait(ctx context.Context, list []recall) {
 	ctx, cancel := context.WithTimeout(ctx, recallTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
-	for _, one := range list {
+	for _, rec := range list {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			s.recallOne(ctx, one)
+			s.recallFrom(ctx, rec)
 		}()
 	}
 	wg.Wait()
 }
 
-// recallOne asks a holder and puts its answer through the log. A lost answer
-// is made up for by the holder's next report.
-func (s *Service) recallOne(ctx context.Context, one recall) {
-	key := one.budget + "\x00" + one.holder
+// recallFrom recalls tokens from a holder and commits its answer. If the answer is
+// lost, the holder's next report includes what it returned.
+func (s *Service) recallFrom(ctx context.Context, rec recall) {
+	key := rec.budget + "\x00" + rec.holder
 	if !s.recalls.begin(key) {
 		return
 	}
 	defer s.recalls.end(key)
-	resp, err := s.opts.Holders.Recall(ctx, one.address, &betweenv1.RecallRequest{Budget: one.budget, Tokens: one.tokens, Asker: one.asker})
+	resp, err := s.opts.Holders.Recall(ctx, rec.address, &betweenv1.RecallRequest{Budget: rec.budget, Tokens: rec.tokens, Asker: rec.asker})
 	if err != nil {
-		s.opts.Logger.Debug("a recall got no answer", "holder", one.holder, "error", err)
+		s.opts.Logger.Debug("recall failed", "holder", rec.holder, "error", err)
 		return
 	}
-	if resp.GetHolder() != one.holder {
+	if resp.GetHolder() != rec.holder {
 		return
 	}
-	m := &statev1.Sync{Holder: one.holder, Reports: []*statev1.BudgetReport{resp.GetReport()}}
+	m := &statev1.Sync{Holder: rec.holder, Reports: []*statev1.BudgetReport{resp.GetReport()}}
 	if err := s.proposeSync(ctx, m); err != nil {
-		s.opts.Logger.Debug("a returned amount was not recorded yet", "holder", one.holder, "error", err)
+		s.opts.Logger.Debug("failed to record returned tokens; the holder's next report includes them", "holder", rec.holder, "error", err)
 	}
 }
