--- a/services/forward/forward_test.go
+++ b/services/forward/forward_test.go
@@ -200,12 +200,12 @@
 		t.Run(name, func(t *testing.T) {
 			// The second call starts once the first script is done, so that its effect on the
 			// connection has arrived.
-			over := make(chan struct{})
-			one := newTarget(t, "one", func(c net.Conn, r received) { defer close(over); first(c, r) }, respond(200, "b"))
+			done := make(chan struct{})
+			one := newTarget(t, "one", func(c net.Conn, r received) { defer close(done); first(c, r) }, respond(200, "b"))
 			f := newForwarder(t, &fakeLeases{}, one)
 			for _, want := range []string{"a", "b"} {
 				if want == "b" {
-					<-over
+					<-done
 				}
 				sink := &collector{}
 				if err := f.Serve(context.Background(), newCall("unsafe"), sink); err != nil || sink.body.String() != want {
--- a/services/forward/pool.go
+++ b/services/forward/pool.go
@@ -117,12 +117,12 @@
 	use    connUse
 }
 
-func newPool(now func() time.Duration, m *meter.Meter, crowded func() bool) *pool {
+func newPool(now func() time.Duration, m *meter.Meter, congested func() bool) *pool {
 	dialer := net.Dialer{
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount},
 	}
 	return &pool{
-		congested:     crowded,
+		congested:     congested,
 		connect:       dialer.DialContext,
 		hedgedConnect: dial.Again(dialer.DialContext, secondDialDelay),
 		now:           now,
--- a/services/forward/replaced_test.go
+++ b/services/forward/replaced_test.go
@@ -35,8 +35,8 @@
 			}
 			f := newForwarder(t, &fakeLeases{}, targets...)
 			f.opts.RetryStock = test.stock
-			gone := make(chan string, len(targets))
-			f.opts.Gone = func(_ context.Context, id string, _ int64) error { gone <- id; return nil }
+			reported := make(chan string, len(targets))
+			f.opts.Gone = func(_ context.Context, id string, _ int64) error { reported <- id; return nil }
 			var refusal *Refusal
 			err := f.Serve(context.Background(), newCall("unsafe"), &collector{})
 			if !errors.As(err, &refusal) || refusal.Kind != structs.KindNoTarget || refusal.Run != structs.RunNo {
@@ -52,7 +52,7 @@
 				t.Fatalf("%d arrivals, want %d", got, test.sends)
 			}
 			for range test.sends {
-				<-gone
+				<-reported
 			}
 			for range 5 {
 				_ = f.Serve(context.Background(), newCall("unsafe"), &collector{})
--- a/services/forward/response_test.go
+++ b/services/forward/response_test.go
@@ -136,16 +136,16 @@
 // corruptAndCut corrupts and cuts an answer, appends the part that is repeated at once, and
 // returns the part that is repeated late.
 func (a response) corruptAndCut(text *string) (late string) {
-	whole := *text
+	full := *text
 	if a.corruptAt >= 0 {
-		at := len(whole) * a.corruptAt / 1000
-		*text = whole[:at] + string(corruptMark) + whole[min(len(whole), at+1):]
+		at := len(full) * a.corruptAt / 1000
+		*text = full[:at] + string(corruptMark) + full[min(len(full), at+1):]
 	}
 	if a.cutAt >= 0 {
 		*text = (*text)[:len(*text)*a.cutAt/1000]
 		return ""
 	}
-	repeated := whole[:len(whole)*a.repeated/1000]
+	repeated := full[:len(full)*a.repeated/1000]
 	if a.late {
 		return repeated
 	}
--- a/services/forward/schedule_test.go
+++ b/services/forward/schedule_test.go
@@ -247,10 +247,10 @@
 }
 
 // checkBody checks the body of an answer with status 200.
-func checkBody(fail func(string, ...any), s *targetRecord, call *Call, body string, whole bool) {
+func checkBody(fail func(string, ...any), s *targetRecord, call *Call, body string, complete bool) {
 	corrupt := strings.ContainsRune(body, corruptMark)
 	if strings.HasPrefix(call.Path, "/unsafe/") {
-		if want := "answer to " + call.ID; whole && !corrupt && body != want && !(s.ambiguous[call.ID] && strings.HasPrefix(want, body)) {
+		if want := "answer to " + call.ID; complete && !corrupt && body != want && !(s.ambiguous[call.ID] && strings.HasPrefix(want, body)) {
 			fail("want %q", want)
 		}
 		return
@@ -264,12 +264,12 @@
 		if block == "" || block == "\n" {
 			continue
 		}
-		if want := eventOf(call.ID, n); block != want && !strings.ContainsRune(block, corruptMark) && (whole || !strings.HasPrefix(want, block)) {
+		if want := eventOf(call.ID, n); block != want && !strings.ContainsRune(block, corruptMark) && (complete || !strings.HasPrefix(want, block)) {
 			fail("%q in the place of event %d", block, n)
 		}
 		n++
 	}
-	if whole && n != eventsOfCall && !s.ambiguous[call.ID] {
+	if complete && n != eventsOfCall && !s.ambiguous[call.ID] {
 		fail("%d events, want %d", n, eventsOfCall)
 	}
 }
--- a/services/forward/stream.go
+++ b/services/forward/stream.go
@@ -46,8 +46,8 @@
 // was stopped to be moved, or a broken stream.
 func (fl *inflightCall) streamEnded(ctx context.Context, t *spread.Target, x *exchange, s *watchdog, mv *mover, err error) attempt {
 	fault := fl.events.fault
-	whole := err == io.EOF && len(fl.events.pending) == 0 && !fault
-	if whole && x.framed {
+	complete := err == io.EOF && len(fl.events.pending) == 0 && !fault
+	if complete && x.framed {
 		return fl.finishStream(t, x)
 	}
 	// A stream without a length ends in the same way whether it is complete or its run was
@@ -59,7 +59,7 @@
 			return attempt{verdict: healthy, resumption: r, err: err}
 		}
 	}
-	if whole {
+	if complete {
 		return fl.finishStream(t, x)
 	}
 	x.abandon()
--- a/services/forward/target_end_test.go
+++ b/services/forward/target_end_test.go
@@ -96,7 +96,7 @@
 		then script
 		ends bool
 		// before and after change the target's registration before the call is dropped and
-		// after it has ended.
+		// after Serve has returned.
 		before, after func(f *Forwarder, address string)
 		want          []string
 	}{
