--- a/models/lease/directory.go
+++ b/models/lease/directory.go
@@ -12,21 +12,23 @@
 )
 
 const (
-	// boxesPerCentre is how many entry boxes of a data centre hold leases at
-	// most; all others draw on theirs.
-	boxesPerCentre = 4
-	// holdersPerCentre is how many of them hold one organisation's.
+	// maxBoxesPerCentre is the maximum number of entry boxes that hold leases in a
+	// data centre. The other boxes draw on the leases of these.
+	maxBoxesPerCentre = 4
+	// holdersPerCentre is the number of those boxes that hold the lease of any
+	// one organisation.
 	holdersPerCentre = 2
 )
 
-// Box is an entry box that others can draw at.
+// Box is an entry box whose leases other boxes can draw on.
 type Box struct {
 	Name, Address, DataCentre string
 }
 
-// Directory says which entry boxes hold an organisation's leases. All boxes
-// with the same directory agree, by rendezvous hashing (Thaler and Ravishankar
-// 1998). It is not changed once it is made; nil is one without boxes.
+// Directory maps an organisation to the entry boxes that hold its leases, by
+// rendezvous hashing (Thaler and Ravishankar 1998), so that all boxes with the
+// same directory compute the same holders. It is immutable. A nil Directory
+// has no boxes.
 type Directory struct {
 	Version uint64
 	Boxes   []Box
@@ -35,8 +37,8 @@
 	centres  []string
 }
 
-// NewDirectory returns the directory of some boxes. Its version is a hash of
-// them.
+// NewDirectory returns a directory of the given boxes in any order. Its version
+// is a hash of the boxes and never zero.
 func NewDirectory(boxes []Box) *Directory {
 	d := &Directory{Boxes: slices.Clone(boxes), byCentre: map[string][]Box{}}
 	slices.SortFunc(d.Boxes, func(a, b Box) int { return strings.Compare(a.Name, b.Name) })
@@ -47,14 +49,14 @@
 	}
 	d.Version = max(1, digest.Sum64())
 	for centre, list := range d.byCentre {
-		d.byCentre[centre] = firstOf(list, centre, boxesPerCentre)
+		d.byCentre[centre] = highestScoring(list, centre, maxBoxesPerCentre)
 		d.centres = append(d.centres, centre)
 	}
 	slices.Sort(d.centres)
 	return d
 }
 
-// Names returns the names of all boxes.
+// Names returns the names of all boxes in ascending order.
 func (d *Directory) Names() []string {
 	if d == nil {
 		return nil
@@ -66,27 +68,29 @@
 	return names
 }
 
-// firstOf returns the boxes that come first for a key.
-func firstOf(boxes []Box, key string, most int) []Box {
+// highestScoring returns the n boxes with the highest rendezvous score for key, or all
+// boxes when there are fewer.
+func highestScoring(boxes []Box, key string, n int) []Box {
 	scores := make(map[string]uint64, len(boxes))
 	for _, b := range boxes {
 		scores[b.Name] = xxhash.Sum64String(key + "\n" + b.Name)
 	}
 	list := slices.Clone(boxes)
 	slices.SortFunc(list, func(a, b Box) int { return cmp.Compare(scores[b.Name], scores[a.Name]) })
-	return list[:min(most, len(list))]
+	return list[:min(n, len(list))]
 }
 
-// Holders returns the boxes of a data centre that hold an organisation's leases.
+// Holders returns the boxes that hold an organisation's leases in a data
+// centre, the preferred one first.
 func (d *Directory) Holders(organisation, centre string) []Box {
 	if d == nil {
 		return nil
 	}
-	return firstOf(d.byCentre[centre], organisation, holdersPerCentre)
+	return highestScoring(d.byCentre[centre], organisation, holdersPerCentre)
 }
 
-// Elsewhere returns the boxes of all other data centres that hold an
-// organisation's leases.
+// Elsewhere returns the boxes that hold an organisation's leases in all data
+// centres other than the given one.
 func (d *Directory) Elsewhere(organisation, centre string) []Box {
 	if d == nil {
 		return nil
@@ -100,7 +104,8 @@
 	return list
 }
 
-// Count returns how many boxes hold an organisation's leases, at least one.
+// Count returns the number of boxes that hold an organisation's leases. It is
+// at least 1, also for an empty or nil directory.
 func (d *Directory) Count(organisation string) int {
 	if d == nil {
 		return 1
@@ -112,7 +117,7 @@
 	return max(1, count)
 }
 
-// Holds tells whether a box holds an organisation's leases.
+// Holds reports whether a box holds an organisation's leases in a data centre.
 func (d *Directory) Holds(box, centre, organisation string) bool {
 	return slices.ContainsFunc(d.Holders(organisation, centre), func(b Box) bool { return b.Name == box })
 }
--- a/models/lease/directory_test.go
+++ b/models/lease/directory_test.go
@@ -22,7 +22,8 @@
 	return boxes
 }
 
-// All boxes agree on the holders, in whatever order they learnt of each other.
+// Directories of the same boxes must yield the same holders, in whatever order
+// the boxes were discovered.
 func TestHoldersAreTheSameEverywhere(t *testing.T) {
 	boxes := boxesOf(3, 9)
 	one := NewDirectory(boxes)
@@ -71,7 +72,7 @@
 	}
 }
 
-// A box that goes moves only leases that it held.
+// The removal of a box must move only leases that it held.
 func TestHoldersStayWhenOthersGo(t *testing.T) {
 	boxes := boxesOf(1, 20)
 	before, after := NewDirectory(boxes), NewDirectory(boxes[1:])
@@ -99,6 +100,6 @@
 func TestNoDirectory(t *testing.T) {
 	var d *Directory
 	if d.Holders("o", "dc") != nil || d.Elsewhere("o", "dc") != nil || d.Count("o") != 1 || d.Holds("b", "dc", "o") {
-		t.Fatal("a directory that is not known has holders")
+		t.Fatal("a nil directory has holders")
 	}
 }
--- a/models/lease/draws.go
+++ b/models/lease/draws.go
@@ -8,42 +8,45 @@
 	"time"
 )
 
-// Draw is a reservation that another box has made at a holder.
+// Draw is a reservation that a request on another box has made in this
+// holder's lease.
 type Draw struct {
 	ID           string
 	Organisation string
 	Tokens       uint64
-	// Expires is when the draw ends by itself, on the holder's clock.
+	// Expires is the time on the holder's clock at which the draw ends unless
+	// it was settled before.
 	Expires time.Duration
-	// ended is set once it is settled; the row stays until it expires, so that
-	// a draw that arrives late is known to be over.
+	// ended is set once the draw is settled. The row is kept until it expires, so
+	// that a delayed draw request with the same id is refused.
 	ended bool
 }
 
-// Draws are the draws at one holder. Rows that are due are found in a heap. It
-// is not safe for concurrent use.
+// Draws is the table of draws in one holder's leases. A heap orders the rows by
+// expiry. It is not safe for concurrent use.
 type Draws struct {
-	rows map[string]*Draw
-	due  dueDraws
+	rows     map[string]*Draw
+	expiries expiryHeap
 }
 
 // NewDraws returns an empty table.
 func NewDraws() *Draws { return &Draws{rows: map[string]*Draw{}} }
 
-// Len returns how many rows there are.
+// Len returns the number of rows, including those of draws that have ended.
 func (d *Draws) Len() int { return len(d.rows) }
 
-// Known tells whether there is a row of a name.
+// Known reports whether there is a row with the given id.
 func (d *Draws) Known(id string) bool { return d.rows[id] != nil }
 
-// Put adds a draw.
+// Put adds a draw. Its id must not be in the table.
 func (d *Draws) Put(row Draw) {
 	d.rows[row.ID] = &row
-	heap.Push(&d.due, &row)
+	heap.Push(&d.expiries, &row)
 }
 
-// End ends a draw, and tells whether that changes anything. One that is not
-// known is remembered until a time, so that it is refused if it still comes.
+// End marks a draw as ended and returns it with true if it was open. An unknown
+// id is recorded as ended until the given time, so that its draw request is
+// refused if it arrives late.
 func (d *Draws) End(id string, until time.Duration) (Draw, bool) {
 	row := d.rows[id]
 	if row == nil {
@@ -57,11 +60,12 @@
 	return *row, true
 }
 
-// Expire removes the rows that are due and returns those that nobody ended.
+// Expire removes the rows that have expired and returns those that were still
+// open.
 func (d *Draws) Expire(now time.Duration) []Draw {
 	var open []Draw
-	for len(d.due) > 0 && d.due[0].Expires <= now {
-		row := heap.Pop(&d.due).(*Draw)
+	for len(d.expiries) > 0 && d.expiries[0].Expires <= now {
+		row := heap.Pop(&d.expiries).(*Draw)
 		delete(d.rows, row.ID)
 		if !row.ended {
 			open = append(open, *row)
@@ -70,18 +74,18 @@
 	return open
 }
 
-// dueDraws is a heap by the time of expiry.
-type dueDraws []*Draw
+// expiryHeap is a min-heap of draws by expiry time.
+type expiryHeap []*Draw
 
-func (h dueDraws) Len() int           { return len(h) }
-func (h dueDraws) Less(i, j int) bool { return h[i].Expires < h[j].Expires }
-func (h dueDraws) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h expiryHeap) Len() int           { return len(h) }
+func (h expiryHeap) Less(i, j int) bool { return h[i].Expires < h[j].Expires }
+func (h expiryHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
 // Push implements heap.Interface.
-func (h *dueDraws) Push(x any) { *h = append(*h, x.(*Draw)) }
+func (h *expiryHeap) Push(x any) { *h = append(*h, x.(*Draw)) }
 
 // Pop implements heap.Interface.
-func (h *dueDraws) Pop() any {
+func (h *expiryHeap) Pop() any {
 	last := len(*h) - 1
 	row := (*h)[last]
 	(*h)[last] = nil
--- a/models/lease/draws_test.go
+++ b/models/lease/draws_test.go
@@ -20,7 +20,7 @@
 		t.Fatal("a draw ended twice")
 	}
 	if _, open := d.End("late", 5*time.Second); open || !d.Known("late") {
-		t.Fatal("a draw that has not come yet must be known as over")
+		t.Fatal("a draw that was ended before it arrived is not recorded as ended")
 	}
 	if left := d.Expire(2 * time.Second); len(left) != 0 || d.Len() != 1 {
 		t.Fatalf("%d open draws expired, %d rows left", len(left), d.Len())
@@ -31,8 +31,9 @@
 	}
 }
 
-// Whatever is lost, late or repeated between boxes, what requests have used is
-// never more than their holder counts as spent or reserved.
+// Messages between boxes may be lost, delayed or repeated: the tokens that
+// requests have used must never exceed what their holder counts as spent or
+// reserved.
 func TestRandomDrawsAreCovered(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		now := time.Second
@@ -60,14 +61,14 @@
 					running = append(running, use{id: id, tokens: tokens, ends: now + life})
 				}
 			case "answer lost":
-				// Nobody uses it; the release comes or does not.
+				// No request uses the draw, and its release may be lost, too.
 				if tb.Reserve(org, 100, now) {
 					draws.Put(Draw{ID: id, Organisation: org, Tokens: 100, Expires: now + time.Second})
 				}
 			case "end before it comes":
 				draws.End(id, now+time.Second)
 				if !draws.Known(id) {
-					rt.Fatal("forgotten at once")
+					rt.Fatal("a draw that was ended before it arrived is not in the table")
 				}
 			default:
 				if len(running) == 0 {
@@ -76,7 +77,7 @@
 				u := running[0]
 				running = running[1:]
 				if now > u.ends {
-					// It ended at its deadline, and its settlement was lost.
+					// The request ended at its deadline and its settlement was lost.
 					used += u.tokens
 					break
 				}
--- a/models/lease/lease.go
+++ b/models/lease/lease.go
@@ -1,11 +1,11 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package lease is an entry box's part of the prepaid budgets: what it was
-// allotted, what requests have reserved of it, and what they spent. A request
-// reserves the most that it can cost before it runs. All amounts are in tokens
-// and all counters that leave the box only rise, so that reports may be lost,
-// repeated and reordered.
+// Package lease tracks an entry box's share of the prepaid budgets: the tokens
+// allotted to it, reserved by running requests and spent. A request reserves
+// its maximum cost before it runs. All amounts are in tokens. Returned and spent
+// tokens are reported as cumulative counters that never decrease, so that
+// reports may be lost, repeated or reordered.
 package lease
 
 import (
@@ -13,39 +13,44 @@
 	"time"
 )
 
-// Lease is the part of one organisation.
+// Lease is the box's share of one organisation's budget.
 type Lease struct {
-	// Allotted, Returned and Spent are cumulative.
+	// Allotted, Returned and Spent are cumulative counters.
 	Allotted uint64
 	Returned uint64
 	Spent    uint64
-	// Reserved is what running requests may still cost.
+	// Reserved is the maximum that running requests may still cost.
 	Reserved uint64
-	// Left is what of the whole budget was neither spent nor reserved when
-	// control answered last.
+	// Left is the part of the organisation's whole budget that was neither spent
+	// nor reserved at control's last answer.
 	Left uint64
-	// Unallotted is what no box had then.
+	// Unallotted is the part that was not allotted to any box at that time.
 	Unallotted uint64
-	// Answered is when control answered last, Asked whether it ever did.
+	// Answered is the time of control's last answer. Asked is set once there was
+	// one.
 	Answered time.Duration
 	Asked    bool
-	// need is what waiting requests lack.
+	// need is the number of tokens that waiting requests lack.
 	need uint64
-	// missed is what requests asked for in vain, cumulative: it is demand, too.
-	missed uint64
-	// drawn is what this box's requests drew at other boxes, cumulative.
+	// refused counts the tokens of rejected requests, cumulatively. They are part
+	// of the demand.
+	refused uint64
+	// drawn counts the tokens that requests on this box drew from leases of
+	// other boxes, cumulatively.
 	drawn uint64
-	// rate is the smoothed demand in tokens a second.
-	rate    float64
-	counted uint64
-	updated time.Duration
-	limit   limiter
+	// rate is the smoothed demand in tokens per second. lastTotal and lastUpdate
+	// are the total demand and the time at its last update.
+	rate       float64
+	lastTotal  uint64
+	lastUpdate time.Duration
+	limit      limiter
 }
 
-// rateWindow is the time over which demand is smoothed.
+// rateWindow is the time constant of the exponential smoothing of demand.
 const rateWindow = 4 * time.Second
 
-// Free is what a new request may reserve.
+// Free returns the number of allotted tokens that are neither returned, spent
+// nor reserved.
 func (l *Lease) Free() uint64 {
 	used := l.Returned + l.Spent + l.Reserved
 	if used >= l.Allotted {
@@ -63,7 +68,7 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{Leases: map[string]*Lease{}} }
 
-// Of returns an organisation's lease and makes it when missing.
+// Of returns an organisation's lease and creates it if there is none.
 func (t *Table) Of(organisation string) *Lease {
 	l := t.Leases[organisation]
 	if l == nil {
@@ -73,24 +78,24 @@
 	return l
 }
 
-// InUse tells whether an organisation's lease has anything that control should
-// hear of.
+// InUse reports whether an organisation's lease has to be reported to control:
+// tokens were allotted to it, or requests are waiting for some.
 func (t *Table) InUse(organisation string) bool {
 	l := t.Leases[organisation]
 	return l != nil && (l.Allotted > 0 || l.need > 0)
 }
 
-// Holding tells whether there are tokens of an organisation here.
+// Holding reports whether an organisation's lease has free tokens on this box.
 func (t *Table) Holding(organisation string) bool {
 	l := t.Leases[organisation]
 	return l != nil && l.Free() > 0
 }
 
-// Reserve sets tokens aside; false when there are too few, or when too many
-// would be used without a report.
+// Reserve reserves tokens. It returns false when the lease has too few free
+// tokens, or when the use since the last report would exceed its limit.
 func (t *Table) Reserve(organisation string, tokens uint64, now time.Duration) bool {
 	l := t.Of(organisation)
-	if l.Free() < tokens || l.limit.at(now) < float64(tokens) {
+	if l.Free() < tokens || l.limit.available(now) < float64(tokens) {
 		return false
 	}
 	l.Reserved += tokens
@@ -98,8 +103,9 @@
 	return true
 }
 
-// Announce sets tokens aside that may be used only once control has a sample
-// with them; it returns false when there are too few.
+// Announce reserves tokens regardless of the limit on unreported use. They must
+// not be used until control has acknowledged a sample that includes them. It
+// returns false when the lease has too few free tokens.
 func (t *Table) Announce(organisation string, tokens uint64) bool {
 	l := t.Of(organisation)
 	if l.Free() < tokens {
@@ -109,11 +115,12 @@
 	return true
 }
 
-// Withdraw ends an announcement of which nothing was used; what the limit
-// allows without a report becomes a reservation, and true is returned.
+// Withdraw ends an announcement whose tokens were not used. If the limit on
+// unreported use allows them, they become an ordinary reservation and Withdraw
+// returns true; otherwise they are released.
 func (t *Table) Withdraw(organisation string, tokens uint64, now time.Duration) bool {
 	l := t.Of(organisation)
-	if l.limit.at(now) >= float64(tokens) {
+	if l.limit.available(now) >= float64(tokens) {
 		l.limit.take(tokens)
 		return true
 	}
@@ -121,49 +128,52 @@
 	return false
 }
 
-// Sample freezes the counters of all leases for a report.
+// Sample copies the counters of all leases for the next report.
 func (t *Table) Sample(now time.Duration) {
 	for _, l := range t.Leases {
-		l.limit.report(counters{returned: l.Returned, spent: l.Spent, reserved: l.Reserved}, now)
+		l.limit.startSample(counters{returned: l.Returned, spent: l.Spent, reserved: l.Reserved}, now)
 	}
 }
 
-// Settle ends a reservation with what was spent of it.
+// Settle ends a reservation and counts what was spent of it, at most the
+// reserved amount.
 func (t *Table) Settle(organisation string, reserved, spent uint64) {
 	l := t.Of(organisation)
 	l.Reserved -= min(reserved, l.Reserved)
 	l.Spent += min(spent, reserved)
 }
 
-// Missed notes that a request asked in vain.
-func (t *Table) Missed(organisation string, tokens uint64) { t.Of(organisation).missed += tokens }
+// Missed adds the tokens of a refused request to the demand.
+func (t *Table) Missed(organisation string, tokens uint64) { t.Of(organisation).refused += tokens }
 
-// Drawn notes that a request drew on another box's lease.
+// Drawn adds tokens that a request drew from another box's lease to the demand.
 func (t *Table) Drawn(organisation string, tokens uint64) { t.Of(organisation).drawn += tokens }
 
-// heavyRate is the demand, in tokens a second, from which on control should
-// hear of an organisation that this box holds no lease of.
-const heavyRate = 4000
+// highDrawRate is the demand, in tokens per second, from which on a box reports an
+// organisation to control although it holds no lease of it.
+const highDrawRate = 4000
 
-// Heavy tells whether this box's requests draw much on an organisation's leases
-// elsewhere.
+// Heavy reports whether requests on this box draw on an organisation's leases on
+// other boxes and its demand has reached highDrawRate.
 func (t *Table) Heavy(organisation string, now time.Duration) bool {
 	l := t.Leases[organisation]
 	if l == nil || l.drawn == 0 {
 		return false
 	}
-	l.measure(now)
-	return l.rate >= heavyRate
+	l.updateRate(now)
+	return l.rate >= highDrawRate
 }
 
-// Need adds to what waiting requests lack; a negative amount takes it back.
+// Need adds to the tokens that waiting requests lack. A negative amount reduces
+// them, at most to zero.
 func (t *Table) Need(organisation string, tokens int64) {
 	l := t.Of(organisation)
 	l.need = uint64(max(0, int64(l.need)+tokens))
 }
 
-// Granted takes control's answer in. Allotted only rises; keep is what the box
-// should have at most, the rest is returned.
+// Granted applies control's answer to a report. Allotted never decreases. keep
+// is the maximum that the box should have unspent; free tokens beyond it are
+// returned unless requests are waiting.
 func (t *Table) Granted(organisation string, allotted, keep, left uint64, now time.Duration) {
 	l := t.Of(organisation)
 	l.Allotted = max(l.Allotted, allotted)
@@ -175,15 +185,16 @@
 	}
 }
 
-// ReturnAll gives back whatever no request has reserved.
+// ReturnAll returns the free tokens of all leases.
 func (t *Table) ReturnAll() {
 	for _, l := range t.Leases {
 		l.Returned += l.Free()
 	}
 }
 
-// Report is what control is told of one lease: the counters of the last sample,
-// and the demand.
+// Report is one lease's part of a report to control: the counters of the last
+// sample and the current demand. Rate is in tokens per second; Basis is the
+// number of tokens that the limit on unreported use is computed from.
 type Report struct {
 	Organisation              string
 	Returned, Spent, Reserved uint64
@@ -191,10 +202,10 @@
 	Rate, Need                uint64
 }
 
-// Report brings the demand up to date and returns a lease's report.
+// Report updates the smoothed demand and returns the report of a lease.
 func (t *Table) Report(organisation string, now time.Duration) Report {
 	l := t.Of(organisation)
-	l.measure(now)
+	l.updateRate(now)
 	sample := l.limit.sample
 	return Report{
 		Organisation: organisation,
@@ -207,23 +218,24 @@
 	}
 }
 
-// measure smooths the demand: what is spent, here or elsewhere, and what
-// requests asked for in vain.
-func (l *Lease) measure(now time.Duration) {
-	total := l.Spent + l.Reserved + l.missed + l.drawn
-	elapsed := (now - l.updated).Seconds()
-	if l.updated == 0 || elapsed <= 0 {
-		l.updated, l.counted = now, total
+// updateRate updates the smoothed demand, which covers tokens spent or reserved on
+// this box, tokens drawn from other boxes and those of refused requests.
+func (l *Lease) updateRate(now time.Duration) {
+	total := l.Spent + l.Reserved + l.refused + l.drawn
+	elapsed := (now - l.lastUpdate).Seconds()
+	if l.lastUpdate == 0 || elapsed <= 0 {
+		l.lastUpdate, l.lastTotal = now, total
 		return
 	}
-	grown := float64(total) - float64(l.counted)
+	increase := float64(total) - float64(l.lastTotal)
 	weight := 1 - math.Exp(-elapsed/rateWindow.Seconds())
-	l.rate = max(0, l.rate+weight*(grown/elapsed-l.rate))
-	l.updated, l.counted = now, total
+	l.rate = max(0, l.rate+weight*(increase/elapsed-l.rate))
+	l.lastUpdate, l.lastTotal = now, total
 }
 
-// Exhausted tells whether the whole budget can't hold a request any more, as
-// far as control's last answer tells.
+// Exhausted reports whether neither this lease nor, by control's last answer,
+// the rest of the organisation's budget can cover a request. It is false before
+// the first answer.
 func (t *Table) Exhausted(organisation string, tokens uint64) bool {
 	l := t.Of(organisation)
 	return l.Asked && l.Left < tokens && l.Free() < tokens
--- a/models/lease/lease_test.go
+++ b/models/lease/lease_test.go
@@ -12,7 +12,7 @@
 
 const org = "org"
 
-// granted gives a table a lease that control knows the use of.
+// granted returns a table with a lease whose use control has acknowledged.
 func granted(tokens uint64, now time.Duration) *Table {
 	t := NewTable()
 	t.Of(org)
@@ -24,7 +24,7 @@
 func TestReserveAndSettle(t *testing.T) {
 	tb := granted(160000, time.Second)
 	if !tb.Reserve(org, 6000, time.Second) {
-		t.Fatal("a reservation within the capacity was refused")
+		t.Fatal("a reservation within the burst limit was refused")
 	}
 	if got := tb.Of(org).Free(); got != 154000 {
 		t.Fatalf("free %d, want 154000", got)
@@ -45,15 +45,15 @@
 		tokens uint64
 		want   bool
 	}{
-		"at once within the capacity":   {tokens: Capacity(160000), want: true},
-		"at once above the capacity":    {tokens: Capacity(160000) + 1, want: false},
-		"later what the rate allows":    {after: time.Second, tokens: Capacity(160000) + uint64(Rate(160000)), want: true},
-		"later above the rate":          {after: time.Second, tokens: Capacity(160000) + uint64(Rate(160000)) + 2, want: false},
-		"a large one in a cut":          {after: cutAfter, tokens: 30000 + uint64(Rate(160000)), want: true},
-		"a large one before a cut":      {after: cutAfter - time.Millisecond, tokens: 30000 + Capacity(160000) + uint64(2*Rate(160000)), want: false},
-		"too large in a cut":            {after: cutAfter, tokens: 30000 + Capacity(160000) + uint64(3*Rate(160000)), want: false},
-		"the whole lease in a long cut": {after: 8 * time.Second, tokens: 160000, want: true},
-		"never more than is there":      {after: time.Hour, tokens: 160001, want: false},
+		"at once within the burst limit":      {tokens: BurstLimit(160000), want: true},
+		"at once above the burst limit":       {tokens: BurstLimit(160000) + 1, want: false},
+		"after a second within the rate":      {after: time.Second, tokens: BurstLimit(160000) + uint64(RateLimit(160000)), want: true},
+		"after a second above the rate":       {after: time.Second, tokens: BurstLimit(160000) + uint64(RateLimit(160000)) + 2, want: false},
+		"large request in a partition":        {after: partitionTimeout, tokens: 30000 + uint64(RateLimit(160000)), want: true},
+		"large request before a partition":    {after: partitionTimeout - time.Millisecond, tokens: 30000 + BurstLimit(160000) + uint64(2*RateLimit(160000)), want: false},
+		"too large request in a partition":    {after: partitionTimeout, tokens: 30000 + BurstLimit(160000) + uint64(3*RateLimit(160000)), want: false},
+		"the whole lease in a long partition": {after: 8 * time.Second, tokens: 160000, want: true},
+		"more than the lease":                 {after: time.Hour, tokens: 160001, want: false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -69,20 +69,20 @@
 	now := time.Second
 	tb := granted(160000, now)
 	if !tb.Announce(org, 100000) {
-		t.Fatal("an announcement that the lease holds was refused")
+		t.Fatal("an announcement that the lease can cover was refused")
 	}
 	tb.Sample(now)
 	tb.Granted(org, 160000, 160000, 160000, now)
-	if !tb.Reserve(org, Capacity(60000), now) {
-		t.Fatal("the capacity of what is left was refused")
+	if !tb.Reserve(org, BurstLimit(60000), now) {
+		t.Fatal("a reservation within the burst limit of the remaining lease was refused")
 	}
 	if tb.Announce(org, 60000) {
-		t.Fatal("more was announced than the lease holds")
+		t.Fatal("an announcement of more than the lease was accepted")
 	}
 	if tb.Withdraw(org, 100000, now) {
-		t.Fatal("a withdrawal kept more than the limit allows")
+		t.Fatal("a withdrawal kept a reservation above the limit")
 	}
-	if got := tb.Of(org).Reserved; got != Capacity(60000) {
+	if got := tb.Of(org).Reserved; got != BurstLimit(60000) {
 		t.Fatalf("reserved %d after the withdrawal", got)
 	}
 }
@@ -109,23 +109,23 @@
 	tb.Sample(0)
 	tb.Granted(org, 100, 100, 100, 0)
 	if tb.Exhausted(org, 100) || !tb.Exhausted(org, 101) {
-		t.Fatal("a budget is exhausted when neither the rest nor the lease holds the request")
+		t.Fatal("a budget is exhausted if and only if neither its rest nor the lease covers the request")
 	}
 }
 
-// controlView is what the replicated state has of a holder.
+// controlView is the replicated state's record of a holder.
 type controlView struct {
 	allotted uint64
 	counters counters
 	basis    uint64
-	// stamp is before the last sample that control has.
+	// stamp is a time before the last sample that control has.
 	stamp time.Duration
 }
 
 func (v controlView) free() uint64 { return v.allotted - min(v.allotted, v.counters.used()) }
 
-// Whatever is lost on the way, a holder never uses more than control's bound
-// from the stamp of the last report that control has.
+// Reports and answers may be lost: a holder must never use more than the bound
+// that control computes from the stamp of the last report it has.
 func TestRandomUseStaysWithinControlsBound(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		now := time.Second
--- a/models/lease/limit.go
+++ b/models/lease/limit.go
@@ -5,102 +5,113 @@
 
 import "time"
 
-// A holder may use its lease only so fast without a report that control has
-// acknowledged: at once a part of it, and a further part with each second. So
-// control knows what a holder that has died can't have used, from the time
-// between its last report and its end. Both sides compute the bound from the
-// basis: what was free of the lease at a report, in tokens.
+// The use of a lease without an acknowledged report is limited like a token
+// bucket: a fraction of the lease at once, and a further fraction per second.
+// When a holder dies, control can therefore compute an upper bound of what it
+// has used from the time between its last report and its end, and reclaim the
+// rest. Both sides compute the bound from the basis: the number of tokens that
+// were free in the lease at a report.
 const (
-	// capacityParts and rateParts are the parts of the basis that may be used
-	// at once, and in each second.
-	capacityParts = 10
-	rateParts     = 14
-	// leastCapacity and leastRate, in tokens and tokens a second, keep small
-	// leases usable, up to smallCapacityParts and smallRateParts of them.
-	leastCapacity      = 2500
-	leastRate          = 2000
-	smallCapacityParts = 4
-	smallRateParts     = 2
-	// cutAfter is the time without a report after which a holder takes itself
-	// to be cut off. It may then use cutParts of its lease more, up to mostInCut
-	// tokens, so that large requests need not wait for the rate, and a further
-	// part with each second. Restarts and losses of power take less than that
-	// time, so they bind less of a lease.
-	cutAfter     = 2600 * time.Millisecond
-	cutParts     = 2
-	mostInCut    = 30000
-	cutRateParts = 8
+	// burstDivisor and rateDivisor are divisors of the basis for the tokens that
+	// may be used at once and per second.
+	burstDivisor = 10
+	rateDivisor  = 14
+	// minBurst (tokens) and minRate (tokens per second) are lower limits
+	// that keep small leases usable. They apply up to the fractions of the basis
+	// given by the divisors smallBurstDivisor and smallRateDivisor.
+	minBurst          = 2500
+	minRate           = 2000
+	smallBurstDivisor = 4
+	smallRateDivisor  = 2
+	// partitionTimeout is the time without an acknowledged report after which a
+	// holder considers itself partitioned from control. It may then use an
+	// additional basis/partitionBurstDivisor, at most maxPartitionBurst tokens, so
+	// that large requests need not wait for the rate, and a further
+	// basis/partitionRateDivisor per second. Restarts and power failures are over
+	// within this time, so less of a lease is withheld after them.
+	partitionTimeout      = 2600 * time.Millisecond
+	partitionBurstDivisor = 2
+	maxPartitionBurst     = 30000
+	partitionRateDivisor  = 8
 )
 
-// inCut is what may be used more once a holder has been cut off for a time.
-func inCut(basis uint64, elapsed time.Duration) uint64 {
-	if elapsed < cutAfter {
+// partitionAllowance returns the additional tokens that a partitioned holder may
+// use when elapsed has passed since its last report.
+func partitionAllowance(basis uint64, elapsed time.Duration) uint64 {
+	if elapsed < partitionTimeout {
 		return 0
 	}
-	further := float64(basis) / cutRateParts * (elapsed - cutAfter).Seconds()
-	return min(basis/cutParts, mostInCut) + uint64(further)
+	refill := float64(basis) / partitionRateDivisor * (elapsed - partitionTimeout).Seconds()
+	return min(basis/partitionBurstDivisor, maxPartitionBurst) + uint64(refill)
 }
 
-// Capacity is what may be used at once.
-func Capacity(basis uint64) uint64 {
-	return max(basis/capacityParts, min(basis/smallCapacityParts, leastCapacity))
+// BurstLimit returns the number of tokens that may be used at once without a
+// report.
+func BurstLimit(basis uint64) uint64 {
+	return max(basis/burstDivisor, min(basis/smallBurstDivisor, minBurst))
 }
 
-// Rate is what may be used in each second, in tokens a second.
-func Rate(basis uint64) float64 {
-	return max(float64(basis)/rateParts, min(float64(basis)/smallRateParts, leastRate))
+// RateLimit returns the number of tokens per second that may be used without a
+// report.
+func RateLimit(basis uint64) float64 {
+	return max(float64(basis)/rateDivisor, min(float64(basis)/smallRateDivisor, minRate))
 }
 
-// driftMargin is added to elapsed times of another box's clock.
-const driftMargin = 1.02
+// clockDriftFactor is the factor by which times measured on another box's clock are
+// lengthened to allow for clock drift.
+const clockDriftFactor = 1.02
 
-// MostUsed is the most that a holder can have used without a report since a
-// moment that lies a time before its end.
+// MostUsed returns an upper bound of the tokens that a holder has used beyond
+// its last report, if that report was sampled no earlier than elapsed before the
+// holder's end.
 func MostUsed(basis uint64, elapsed time.Duration) uint64 {
-	return Capacity(basis) + uint64(Rate(basis)*elapsed.Seconds()*driftMargin) + inCut(basis, time.Duration(driftMargin*float64(elapsed))) + 1
+	return BurstLimit(basis) + uint64(RateLimit(basis)*elapsed.Seconds()*clockDriftFactor) + partitionAllowance(basis, time.Duration(clockDriftFactor*float64(elapsed))) + 1
 }
 
-// limiter bounds what is reserved since the last sample that control may have
-// seen.
+// limiter limits the tokens that are reserved since the last sample that control
+// may have received.
 type limiter struct {
 	basis uint64
-	// level is what may be reserved, at the time of the sample and less what
-	// has been since.
-	level   float64
-	taken   uint64
-	sampled time.Duration
-	// sample holds the counters that the report had.
+	// level is the bucket's level at the time of the sample, less the tokens
+	// reserved since.
+	level float64
+	// takenSinceSample is the number of tokens reserved since the sample.
+	takenSinceSample uint64
+	sampledAt        time.Duration
+	// sample holds the counters of the last report.
 	sample counters
 }
 
-// counters are the counters of a lease at one moment.
+// counters is a copy of a lease's counters at one time.
 type counters struct{ returned, spent, reserved uint64 }
 
 func (c counters) used() uint64 { return c.returned + c.spent + c.reserved }
 
-// at returns what may be reserved at a time.
-func (l *limiter) at(now time.Duration) float64 {
-	return l.flow(now) + float64(inCut(l.basis, now-l.sampled))
+// available returns the number of tokens that may be reserved at the given time.
+func (l *limiter) available(now time.Duration) float64 {
+	return l.refilled(now) + float64(partitionAllowance(l.basis, now-l.sampledAt))
 }
 
-// flow is at without what a cut allows.
-func (l *limiter) flow(now time.Duration) float64 {
-	return l.level + Rate(l.basis)*(now-l.sampled).Seconds()
+// refilled is like available, without the additional tokens of a partition.
+func (l *limiter) refilled(now time.Duration) float64 {
+	return l.level + RateLimit(l.basis)*(now-l.sampledAt).Seconds()
 }
 
 func (l *limiter) take(tokens uint64) {
 	l.level -= float64(tokens)
-	l.taken += tokens
+	l.takenSinceSample += tokens
 }
 
-// report starts to count from a new sample, which control may or may not see.
-func (l *limiter) report(c counters, now time.Duration) {
-	l.level = min(l.flow(now), float64(Capacity(l.basis)))
-	l.sampled, l.sample, l.taken = now, c, 0
+// startSample starts counting from a new sample, which may be lost on its way to
+// control.
+func (l *limiter) startSample(c counters, now time.Duration) {
+	l.level = min(l.refilled(now), float64(BurstLimit(l.basis)))
+	l.sampledAt, l.sample, l.takenSinceSample = now, c, 0
 }
 
-// acknowledge says that control has the last sample.
+// acknowledge records that control has received the last sample, and computes
+// the new basis from it.
 func (l *limiter) acknowledge(allotted uint64) {
 	l.basis = allotted - min(allotted, l.sample.used())
-	l.level = float64(Capacity(l.basis)) - float64(l.taken)
+	l.level = float64(BurstLimit(l.basis)) - float64(l.takenSinceSample)
 }
