--- a/models/ledger/allotment.go
+++ b/models/ledger/allotment.go
@@ -12,29 +12,30 @@
 	statev1 "havenwinch.dev/havenwinch/gen/havenwinch/state/v1"
 )
 
-// rateHalfLife is the time in which old demand loses half its weight.
+// rateHalfLife is the half-life of the exponential decay of demand.
 const rateHalfLife = 10 * time.Second
 
-// rate is an exponentially weighted demand in tokens a second.
-type rate struct {
+// decayingRate is an exponentially weighted rate of demand in tokens per second.
+type decayingRate struct {
 	perSecond float64
-	at        time.Duration
+	updatedAt time.Duration
 }
 
-func (r *rate) decay(now time.Duration) {
-	if now > r.at {
-		r.perSecond *= math.Exp2(-float64(now-r.at) / float64(rateHalfLife))
-		r.at = now
+func (r *decayingRate) decay(now time.Duration) {
+	if now > r.updatedAt {
+		r.perSecond *= math.Exp2(-float64(now-r.updatedAt) / float64(rateHalfLife))
+		r.updatedAt = now
 	}
 }
 
-func (r *rate) add(tokens uint64, now time.Duration) {
+func (r *decayingRate) add(tokens uint64, now time.Duration) {
 	r.decay(now)
 	r.perSecond += float64(tokens) * math.Ln2 / rateHalfLife.Seconds()
 }
 
-// Allot raises a row to a total that control has named. Lower totals, from
-// answers that were overtaken, change nothing.
+// Allot raises a budget's allotment to a cumulative total from control. A lower
+// total comes from an answer that was overtaken by a later one and changes
+// nothing.
 func (l *Ledger) Allot(budget string, total uint64) []*statev1.LedgerRecord {
 	b := l.Budget(budget)
 	if total <= b.Row.GetAllotted() {
@@ -42,13 +43,13 @@
 	}
 	b.Row = proto.CloneOf(b.Row)
 	b.Row.Allotted = total
-	// The next report tells control that the tokens have arrived.
-	l.dirty[budget] = true
+	// The next report acknowledges the tokens to control.
+	l.dirtyBudgets[budget] = true
 	return []*statev1.LedgerRecord{{Budget: b.Row}}
 }
 
-// Return gives at most the named tokens of what is free back. The record must
-// last before control is told.
+// Return returns free tokens of a budget to control, at most the given number.
+// The record must be durable before it is reported to control.
 func (l *Ledger) Return(budget string, tokens uint64) []*statev1.LedgerRecord {
 	b := l.Budgets[budget]
 	if b == nil {
@@ -60,11 +61,12 @@
 	}
 	b.Row = proto.CloneOf(b.Row)
 	b.Row.Returned += tokens
-	l.dirty[budget] = true
+	l.dirtyBudgets[budget] = true
 	return []*statev1.LedgerRecord{{Budget: b.Row}}
 }
 
-// Report returns this ledger's counters of one budget.
+// Report returns this ledger's counters of one budget and its demand in tokens
+// per second.
 func (l *Ledger) Report(budget string, boot time.Duration) *statev1.BudgetReport {
 	b := l.Budget(budget)
 	b.rate.decay(boot)
@@ -78,27 +80,28 @@
 	}
 }
 
-// Reports returns the counters of what has changed since the last call, at
-// most n budgets and n groups.
+// Reports returns the counters of budgets and groups that have changed since the
+// last call, at most n of each.
 func (l *Ledger) Reports(n int, boot time.Duration) ([]*statev1.BudgetReport, []*statev1.GroupUsage) {
 	var reports []*statev1.BudgetReport
-	for name := range l.dirty {
+	for name := range l.dirtyBudgets {
 		if len(reports) == n {
 			break
 		}
 		report := l.Report(name, boot)
 		reports = append(reports, report)
-		// A budget in demand stays due, so that control sees demand fade.
+		// A budget with demand stays in the set, so that control sees the demand
+		// decay.
 		if report.GetRate() == 0 {
-			delete(l.dirty, name)
+			delete(l.dirtyBudgets, name)
 		}
 	}
 	var usages []*statev1.GroupUsage
-	for group := range l.dirtyUse {
+	for group := range l.dirtyUsages {
 		if len(usages) == n {
 			break
 		}
-		delete(l.dirtyUse, group)
+		delete(l.dirtyUsages, group)
 		usages = append(usages, l.usageReport(group))
 	}
 	return reports, usages
@@ -116,32 +119,33 @@
 	}
 }
 
-// Touch makes a budget part of the next Reports.
-func (l *Ledger) Touch(budget string) { l.dirty[budget] = true }
+// Touch includes a budget in the next Reports.
+func (l *Ledger) Touch(budget string) { l.dirtyBudgets[budget] = true }
 
-// MarkDirty makes rows part of the next Reports, after one that failed.
+// MarkDirty includes rows in the next Reports again after sending them failed.
 func (l *Ledger) MarkDirty(reports []*statev1.BudgetReport, usages []*statev1.GroupUsage) {
 	for _, r := range reports {
-		l.dirty[r.GetBudget()] = true
+		l.dirtyBudgets[r.GetBudget()] = true
 	}
 	for _, u := range usages {
-		l.dirtyUse[u.GetGroup()] = true
+		l.dirtyUsages[u.GetGroup()] = true
 	}
 }
 
-// Want notes that a waiting request lacks tokens, or no longer does.
+// Want sets the number of tokens that waiting requests lack of a budget, zero
+// for none.
 func (l *Ledger) Want(budget string, need uint64) {
 	b := l.Budget(budget)
 	if b.Need == need {
 		return
 	}
 	b.Need = need
-	l.dirty[budget] = true
+	l.dirtyBudgets[budget] = true
 }
 
-// Waiting changes the count of a group's waiting requests.
+// Waiting adds delta to the number of a group's waiting requests.
 func (l *Ledger) Waiting(group string, delta int) {
 	u := l.Usage(group)
 	u.Waiting = uint64(int64(u.Waiting) + int64(delta))
-	l.dirtyUse[group] = true
+	l.dirtyUsages[group] = true
 }
--- a/models/ledger/escrow_test.go
+++ b/models/ledger/escrow_test.go
@@ -28,61 +28,62 @@
 
 var options = ledger.Options{Window: time.Hour, BoxTimeout: 3 * time.Second}
 
-// holder is a ledger with its disk.
+// holder is a ledger with its simulated disk.
 type holder struct {
-	box    string
-	ledger *ledger.Ledger
-	disk   [][]byte
-	lives  int
-	// served is what targets have worked for requests of this ledger.
+	box          string
+	ledger       *ledger.Ledger
+	disk         [][]byte
+	incarnations int
+	// served is the number of tokens that targets used for requests of this
+	// ledger.
 	served uint64
 }
 
-// world is control, three holders, and messages between them that are lost,
-// repeated and reordered.
-type world struct {
+// escrowModel consists of control, three holders, and messages between them that
+// are lost, repeated and reordered.
+type escrowModel struct {
 	t       *rapid.T
 	state   *state.State
 	holders []*holder
-	// reports and rows are messages on their way.
+	// reports and answers are messages in transit.
 	reports []*statev1.Sync
-	rows    []row
+	answers []allotmentAnswer
 	now     ledger.Times
 	keys    int
-	// served is what targets have really worked, per key and run.
+	// served is the number of tokens that targets have used in all runs.
 	served uint64
-	// wipes says that disks may be lost.
-	wipes bool
+	// losesDisks allows steps that lose a holder's disk.
+	losesDisks bool
 }
 
-type row struct {
+type allotmentAnswer struct {
 	holder   string
 	allotted uint64
 }
 
-func newWorld(t *rapid.T) *world {
-	w := &world{t: t, state: state.New()}
+func newEscrowModel(t *rapid.T) *escrowModel {
+	w := &escrowModel{t: t, state: state.New()}
 	w.now = ledger.Times{Wall: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), Boot: time.Hour}
 	w.command(&statev1.Command{Action: &statev1.Command_CreateOrganisation{CreateOrganisation: &statev1.CreateOrganisation{Name: "north", Share: 1}}})
 	w.command(&statev1.Command{Action: &statev1.Command_CreateBudget{CreateBudget: &statev1.CreateBudget{Name: budgetName, Tokens: 400}}})
 	for _, box := range []string{"k1", "k2", "k3"} {
 		h := &holder{box: box}
 		w.holders = append(w.holders, h)
-		w.begin(h)
+		w.startLedger(h)
 	}
 	return w
 }
 
-func (w *world) command(c *statev1.Command) *statev1.CommandResult {
+func (w *escrowModel) command(c *statev1.Command) *statev1.CommandResult {
 	w.keys++
 	c.Operator, c.Number, c.Digest = "op", uint64(w.keys), fmt.Sprint(w.keys)
 	return w.state.Apply(&statev1.Entry{Kind: &statev1.Entry_Command{Command: c}}).(*statev1.CommandResult)
 }
 
-// begin starts a ledger on an empty disk.
-func (w *world) begin(h *holder) {
-	h.lives++
-	h.ledger = ledger.New(options, fmt.Sprintf("%s-%d", h.box, h.lives), w.now.Wall, w.now.Boot)
+// startLedger starts a new ledger on an empty disk.
+func (w *escrowModel) startLedger(h *holder) {
+	h.incarnations++
+	h.ledger = ledger.New(options, fmt.Sprintf("%s-%d", h.box, h.incarnations), w.now.Wall, w.now.Boot)
 	h.disk, h.served = nil, 0
 	answer := w.state.Apply(&statev1.Entry{Kind: &statev1.Entry_RegisterKeeper{RegisterKeeper: &statev1.RegisterKeeper{Box: h.box, Incarnation: h.ledger.Incarnation}}})
 	if err := answer.(state.RegisterAnswer).Err; err != nil {
@@ -92,8 +93,8 @@
 
 func (h *holder) name() string { return state.Holder(h.box, h.ledger.Incarnation) }
 
-// store makes records last.
-func (w *world) store(h *holder, records []*statev1.LedgerRecord) {
+// store writes records to a holder's disk.
+func (w *escrowModel) store(h *holder, records []*statev1.LedgerRecord) {
 	for _, r := range records {
 		data, err := proto.Marshal(r)
 		if err != nil {
@@ -103,8 +104,8 @@
 	}
 }
 
-// restart loads a ledger from its disk; what was not stored is gone.
-func (w *world) restart(h *holder) {
+// restart loads a ledger from its disk. Changes that were not stored are lost.
+func (w *escrowModel) restart(h *holder) {
 	fresh := ledger.New(options, h.ledger.Incarnation, w.now.Wall, w.now.Boot)
 	for _, data := range h.disk {
 		var r statev1.LedgerRecord
@@ -116,9 +117,9 @@
 	h.ledger = fresh
 }
 
-func (w *world) pick() *holder { return rapid.SampledFrom(w.holders).Draw(w.t, "holder") }
+func (w *escrowModel) randomHolder() *holder { return rapid.SampledFrom(w.holders).Draw(w.t, "holder") }
 
-func (w *world) reserve(h *holder, key string, foreign string) {
+func (w *escrowModel) reserve(h *holder, key string, foreign string) {
 	bound := rapid.Uint64Range(1, 200).Draw(w.t, "bound")
 	r := &statev1.RequestRecord{Group: groupName, Key: key, Budget: budgetName, Bound: bound, Repeatable: true, ForeignHome: foreign, Deadline: w.now.Wall.Add(time.Hour).UnixMilli()}
 	out := h.ledger.Reserve(r, "entry@1", w.now)
@@ -132,8 +133,8 @@
 	}
 }
 
-// work moves one open request of a holder on: it starts or it ends.
-func (w *world) work(h *holder) {
+// advanceRequest starts a reserved request of a holder, or ends a started one.
+func (w *escrowModel) advanceRequest(h *holder) {
 	var open []string
 	for key, r := range h.ledger.Requests {
 		if ledger.IsOpen(r) {
@@ -153,22 +154,23 @@
 		w.store(h, out.Records)
 		return
 	}
-	w.end(h, r)
+	w.settleOrRerun(h, r)
 }
 
-func (w *world) end(h *holder, r *statev1.RequestRecord) {
+func (w *escrowModel) settleOrRerun(h *holder, r *statev1.RequestRecord) {
 	used := rapid.Uint64Range(0, r.GetBound()+50).Draw(w.t, "used")
 	if rapid.IntRange(0, 4).Draw(w.t, "another run") == 0 {
-		// The first run is lost; what it may have used stays out of the budget.
+		// The first run is lost. The tokens it may have used remain deducted from
+		// the budget.
 		out, ok := h.ledger.Start(r.GetGroup(), r.GetKey(), ledger.StartOptions{Attempt: r.GetAttempt(), Target: "other", Lost: min(used, r.GetBound())}, w.now)
 		if ok {
-			w.serve(h, min(used, r.GetBound()))
+			w.addServed(h, min(used, r.GetBound()))
 			w.store(h, out.Records)
 		}
 		return
 	}
 	out := h.ledger.Settle(r.GetGroup(), r.GetKey(), ledger.Bill{Attempt: r.GetAttempt(), Used: used}, w.now)
-	w.serve(h, min(used, r.GetBound()))
+	w.addServed(h, min(used, r.GetBound()))
 	w.store(h, out.Records)
 	// A repeated settlement must change nothing.
 	if again := h.ledger.Settle(r.GetGroup(), r.GetKey(), ledger.Bill{Attempt: r.GetAttempt(), Used: used + 1}, w.now); len(again.Records) > 0 {
@@ -176,18 +178,19 @@
 	}
 }
 
-func (w *world) serve(h *holder, tokens uint64) {
+func (w *escrowModel) addServed(h *holder, tokens uint64) {
 	w.served += tokens
 	h.served += tokens
 }
 
-func (w *world) report(h *holder) {
+func (w *escrowModel) report(h *holder) {
 	reports, usages := h.ledger.Reports(10, w.now.Boot)
 	w.reports = append(w.reports, &statev1.Sync{Holder: h.name(), Reports: reports, Usages: usages})
 }
 
-// control takes a report that may be late or a repetition, and grants.
-func (w *world) control() {
+// applyReport applies one report in transit, which may be late or repeated, with
+// a random grant.
+func (w *escrowModel) applyReport() {
 	if len(w.reports) == 0 {
 		return
 	}
@@ -199,16 +202,16 @@
 	}
 	w.state.Apply(&statev1.Entry{Kind: &statev1.Entry_Sync{Sync: m}})
 	if a := w.state.Budgets[budgetName].Of(m.GetHolder()); a != nil {
-		w.rows = append(w.rows, row{holder: m.GetHolder(), allotted: a.GetAllotted()})
+		w.answers = append(w.answers, allotmentAnswer{holder: m.GetHolder(), allotted: a.GetAllotted()})
 	}
 }
 
-// allot brings one answer of control to its holder.
-func (w *world) allot() {
-	if len(w.rows) == 0 {
+// deliverAllotment delivers one of control's answers to its holder.
+func (w *escrowModel) deliverAllotment() {
+	if len(w.answers) == 0 {
 		return
 	}
-	r := w.rows[rapid.IntRange(0, len(w.rows)-1).Draw(w.t, "row")]
+	r := w.answers[rapid.IntRange(0, len(w.answers)-1).Draw(w.t, "row")]
 	for _, h := range w.holders {
 		if h.name() == r.holder {
 			w.store(h, h.ledger.Allot(budgetName, r.allotted))
@@ -216,55 +219,56 @@
 	}
 }
 
-func (w *world) step() {
+func (w *escrowModel) step() {
 	w.now.Wall = w.now.Wall.Add(time.Millisecond)
 	w.now.Boot += time.Millisecond
 	switch rapid.SampledFrom([]string{"reserve", "reserve", "again", "work", "work", "work", "work", "report", "report", "control", "control", "allot", "allot", "return", "restart", "wipe", "grant", "reduce", "claim", "again", "again"}).Draw(w.t, "step") {
 	case "reserve":
 		w.keys++
-		w.reserve(w.pick(), fmt.Sprintf("key-%d", w.keys), "")
+		w.reserve(w.randomHolder(), fmt.Sprintf("key-%d", w.keys), "")
 	case "again":
-		// The same key at any holder, while its home may be cut off.
-		w.reserve(w.pick(), fmt.Sprintf("shared-%d", rapid.IntRange(0, 2).Draw(w.t, "key")), "k1")
+		// The same key at any holder, as when its home is unreachable.
+		w.reserve(w.randomHolder(), fmt.Sprintf("shared-%d", rapid.IntRange(0, 2).Draw(w.t, "key")), "k1")
 	case "work":
-		w.work(w.pick())
+		w.advanceRequest(w.randomHolder())
 	case "report":
-		w.report(w.pick())
+		w.report(w.randomHolder())
 	case "control":
-		w.control()
+		w.applyReport()
 	case "allot":
-		w.allot()
+		w.deliverAllotment()
 	case "return":
-		h := w.pick()
+		h := w.randomHolder()
 		w.store(h, h.ledger.Return(budgetName, rapid.Uint64Range(0, 300).Draw(w.t, "return")))
 	case "restart":
-		w.restart(w.pick())
+		w.restart(w.randomHolder())
 	case "wipe":
-		if w.wipes {
-			w.lose(w.pick())
+		if w.losesDisks {
+			w.wipeDisk(w.randomHolder())
 		}
 	case "grant":
 		w.command(&statev1.Command{Action: &statev1.Command_GrantBudget{GrantBudget: &statev1.GrantBudget{Name: budgetName, Tokens: 100}}})
 	case "reduce":
 		w.command(&statev1.Command{Action: &statev1.Command_ReduceBudget{ReduceBudget: &statev1.ReduceBudget{Name: budgetName, Tokens: rapid.Uint64Range(1, 400).Draw(w.t, "reduce")}}})
 	case "claim":
-		w.claim(w.pick())
+		w.resolveClaims(w.randomHolder())
 	}
 }
 
-// lose takes a holder's disk away. Runs it had open go on unseen, so they
-// count as served in full.
-func (w *world) lose(h *holder) {
+// wipeDisk replaces a holder's disk by an empty one. Its open runs continue
+// without a record, so they count as served in full.
+func (w *escrowModel) wipeDisk(h *holder) {
 	for _, r := range h.ledger.Requests {
 		if r.GetState() == statev1.RequestState_REQUEST_STATE_STARTED {
 			w.served += r.GetBound()
 		}
 	}
-	w.begin(h)
+	w.startLedger(h)
 }
 
-// claim lets a holder ask the home of a key that it ran.
-func (w *world) claim(h *holder) {
+// resolveClaims sends a holder's pending claims to the home ledger and applies
+// the answers.
+func (w *escrowModel) resolveClaims(h *holder) {
 	for _, r := range h.ledger.Pending(100) {
 		home := w.holders[0]
 		if home == h {
@@ -277,14 +281,14 @@
 	}
 }
 
-// check verifies that what was served and what may still be served never
-// exceeds what is granted, and that every ledger stays within its allotment.
-func (w *world) check() {
+// check verifies that the tokens served and reserved never exceed the granted
+// ones, and that every ledger stays within its allotment.
+func (w *escrowModel) check() {
 	granted := w.state.Budgets[budgetName].Granted
-	may := w.served
+	total := w.served
 	for _, h := range w.holders {
 		b := h.ledger.Budget(budgetName)
-		may += b.Reserved
+		total += b.Reserved
 		if b.Row.GetSpent() != h.served {
 			w.t.Fatalf("%s counts %d tokens as spent, %d were served", h.name(), b.Row.GetSpent(), h.served)
 		}
@@ -292,26 +296,26 @@
 			w.t.Fatalf("%s has used %d of %d allotted tokens", h.name(), used, b.Row.GetAllotted())
 		}
 	}
-	if may > granted {
-		w.t.Fatalf("%d tokens are served or reserved, %d granted", may, granted)
+	if total > granted {
+		w.t.Fatalf("%d tokens are served or reserved, %d granted", total, granted)
 	}
 	if held := w.state.Budgets[budgetName].HeldByAll(); held > granted {
 		w.t.Fatalf("%d tokens are allotted, %d granted", held, granted)
 	}
 }
 
-// settle ends everything and checks that each key has one bill at most.
-func (w *world) settle() {
+// settleAll ends all requests and checks that each key is billed at most once.
+func (w *escrowModel) settleAll() {
 	for range 3 {
 		for _, h := range w.holders {
-			w.claim(h)
+			w.resolveClaims(h)
 		}
 	}
 	for _, h := range w.holders {
 		for _, r := range h.ledger.Requests {
 			if ledger.IsOpen(r) {
 				out := h.ledger.Settle(r.GetGroup(), r.GetKey(), ledger.Bill{Attempt: r.GetAttempt(), Used: r.GetBound()}, w.now)
-				w.serve(h, r.GetBound())
+				w.addServed(h, r.GetBound())
 				w.store(h, out.Records)
 			}
 		}
@@ -331,19 +335,21 @@
 	}
 }
 
-// TestRandomEscrow runs budgets over random schedules of lost, repeated and
-// reordered messages, restarts, lost disks, grants and reductions.
+// TestRandomEscrow checks that budgets are never overspent under random
+// schedules of lost, repeated and reordered messages, restarts, lost disks,
+// grants and reductions.
 func TestRandomEscrow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
-		w.wipes = rapid.IntRange(0, 3).Draw(t, "wipes") == 0
+		w := newEscrowModel(t)
+		w.losesDisks = rapid.IntRange(0, 3).Draw(t, "wipes") == 0
 		for range rapid.IntRange(10, 200).Draw(t, "steps") {
 			w.step()
 			w.check()
 		}
-		if !w.wipes {
-			// A home that has lost its disk has forgotten who bills its keys.
-			w.settle()
+		if !w.losesDisks {
+			// A home that has lost its disk no longer knows who bills its keys, so
+			// a key may be billed twice.
+			w.settleAll()
 		}
 	})
 }
--- a/models/ledger/expiry_test.go
+++ b/models/ledger/expiry_test.go
@@ -11,8 +11,8 @@
 	statev1 "havenwinch.dev/havenwinch/gen/havenwinch/state/v1"
 )
 
-// TestEndedRequestsLeaveNothing shows that a request with a late deadline
-// takes no memory beyond the window of its record.
+// TestEndedRequestsLeaveNothing checks that an ended request with a deadline far
+// ahead takes no memory after the window of its record.
 func TestEndedRequestsLeaveNothing(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	l := New(Options{Window: time.Minute, BoxTimeout: time.Second}, "one", start, 0)
@@ -25,10 +25,10 @@
 		l.Settle("g", key, Bill{Attempt: 1, Used: 1}, now)
 	}
 	if len(l.expiries) != 100 {
-		t.Errorf("%d due times for 100 records", len(l.expiries))
+		t.Errorf("%d expiries for 100 records", len(l.expiries))
 	}
 	l.Expire(Times{Wall: start.Add(2 * time.Minute)})
-	if len(l.Requests)+len(l.expiries)+len(l.due)+len(l.open)+len(l.pending) != 0 {
-		t.Errorf("left: %d records, %d due times", len(l.Requests), len(l.expiries))
+	if len(l.Requests)+len(l.expiries)+len(l.expiryByKey)+len(l.openByBox)+len(l.pendingClaims) != 0 {
+		t.Errorf("%d records and %d expiries are left", len(l.Requests), len(l.expiries))
 	}
 }
--- a/models/ledger/ledger.go
+++ b/models/ledger/ledger.go
@@ -1,13 +1,13 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package ledger is a keeper's book: what it was allotted of each budget, and
-// a record of each request that reserved, ran and was billed from it. One
-// record decides at once whether a request may run and who pays, so a request
-// is billed once, whatever is repeated or lost on the way.
+// Package ledger implements the ledger of a keeper: the tokens allotted to it
+// from each budget, and a record of each request that was reserved, run and
+// billed. A single record decides both whether a request may run and what it is
+// billed, so a request is billed once even if messages are repeated or lost.
 //
-// A Ledger decides and does no I/O. Each step returns the records to store;
-// nothing may be told to anyone before they last.
+// A Ledger does no I/O. Each operation returns the records to store, and its
+// result must not be sent to anyone before they are durable.
 package ledger
 
 import (
@@ -19,54 +19,59 @@
 
 // Options configure a Ledger.
 type Options struct {
-	// Window is how long a record is kept after its request ended.
+	// Window is the time for which a record is kept after its request ended.
 	Window time.Duration
-	// BoxTimeout is how long a box may be silent before its requests count as
-	// orphaned.
+	// BoxTimeout is the time without a message from a box after which its
+	// requests are orphaned.
 	BoxTimeout time.Duration
 }
 
-// clockSkew is how far clocks of callers and boxes may differ, in
-// milliseconds, where a key's own time is relied on.
-const clockSkew = 60_000
+// maxClockSkewMillis is the assumed maximum difference between the clocks of
+// callers and boxes, in milliseconds, where the time inside a key is relied on.
+const maxClockSkewMillis = 60_000
 
 // Ledger holds the tables. It is not safe for concurrent use.
 type Ledger struct {
 	opts        Options
 	Incarnation string
-	// Created is when this ledger began, in Unix milliseconds.
+	// Created is the creation time of this ledger in Unix milliseconds.
 	Created int64
-	// Blind says that an earlier ledger of this box was lost: keys from before
-	// Created can't be vouched for.
+	// Blind is set if an earlier ledger of this box was lost. A key from before
+	// Created may then have run without a record.
 	Blind bool
-	// Registered says that control has brought this ledger into force once.
+	// Registered is set once control has registered this ledger.
 	Registered bool
 	Budgets    map[string]*Budget
 	Usages     map[string]*Usage
 	Requests   map[string]*statev1.RequestRecord
-	// open holds the keys of unfinished requests by box.
-	open map[string]map[string]bool
-	// beats holds the boot time at which a box was last heard of.
-	beats map[string]time.Duration
-	began time.Duration
-	// pending holds the keys of records whose home must still be asked.
-	pending  map[string]bool
-	expiries expiryHeap
-	due      map[string]*expiry
-	dirty    map[string]bool
-	dirtyUse map[string]bool
+	// openByBox holds the keys of open requests by box.
+	openByBox map[string]map[string]bool
+	// lastBeats holds the boot time of the last message from each box. startedAt
+	// stands for it for a box without one.
+	lastBeats map[string]time.Duration
+	startedAt time.Duration
+	// pendingClaims holds the keys of records that their home ledger has not
+	// confirmed yet.
+	pendingClaims map[string]bool
+	// expiries and expiryByKey hold the same expiries, by time and by record.
+	expiries    expiryHeap
+	expiryByKey map[string]*expiry
+	// dirtyBudgets and dirtyUsages name the rows of the next Reports.
+	dirtyBudgets map[string]bool
+	dirtyUsages  map[string]bool
 }
 
-// Budget is a row of one budget.
+// Budget is the ledger's state of one budget.
 type Budget struct {
 	Row      *statev1.BudgetRow
 	Reserved uint64
-	// Need is what waiting requests lack.
+	// Need is the number of tokens that waiting requests lack.
 	Need uint64
-	rate rate
+	rate decayingRate
 }
 
-// Free is what can still be reserved.
+// Free returns the number of allotted tokens that are neither returned, spent
+// nor reserved.
 func (b *Budget) Free() uint64 {
 	used := b.Row.GetReturned() + b.Row.GetSpent() + b.Reserved
 	if used >= b.Row.GetAllotted() {
@@ -75,38 +80,40 @@
 	return b.Row.GetAllotted() - used
 }
 
-// Usage is a row of one group.
+// Usage is the ledger's state of one group. Waiting is the number of its waiting
+// requests.
 type Usage struct {
 	Row      *statev1.UsageRow
 	Reserved uint64
 	Waiting  uint64
 }
 
-// New returns an empty ledger.
+// New returns an empty ledger. boot is the current boot time, from which the
+// timeout of boxes without a message counts.
 func New(opts Options, incarnation string, created time.Time, boot time.Duration) *Ledger {
 	return &Ledger{
-		opts:        opts,
-		Incarnation: incarnation,
-		Created:     created.UnixMilli(),
-		Budgets:     map[string]*Budget{},
-		Usages:      map[string]*Usage{},
-		Requests:    map[string]*statev1.RequestRecord{},
-		open:        map[string]map[string]bool{},
-		beats:       map[string]time.Duration{},
-		began:       boot,
-		pending:     map[string]bool{},
-		due:         map[string]*expiry{},
-		dirty:       map[string]bool{},
-		dirtyUse:    map[string]bool{},
+		opts:          opts,
+		Incarnation:   incarnation,
+		Created:       created.UnixMilli(),
+		Budgets:       map[string]*Budget{},
+		Usages:        map[string]*Usage{},
+		Requests:      map[string]*statev1.RequestRecord{},
+		openByBox:     map[string]map[string]bool{},
+		lastBeats:     map[string]time.Duration{},
+		startedAt:     boot,
+		pendingClaims: map[string]bool{},
+		expiryByKey:   map[string]*expiry{},
+		dirtyBudgets:  map[string]bool{},
+		dirtyUsages:   map[string]bool{},
 	}
 }
 
-// RequestKey is the key of a record: a group's name and the caller's key.
+// RequestKey returns the key of a request's record in Ledger.Requests.
 func RequestKey(group, key string) string { return group + "\x00" + key }
 
 func keyOf(r *statev1.RequestRecord) string { return RequestKey(r.GetGroup(), r.GetKey()) }
 
-// Budget returns a row and makes it when missing.
+// Budget returns a budget's state and creates it if there is none.
 func (l *Ledger) Budget(name string) *Budget {
 	b := l.Budgets[name]
 	if b == nil {
@@ -116,7 +123,7 @@
 	return b
 }
 
-// Usage returns a row and makes it when missing.
+// Usage returns a group's state and creates it if there is none.
 func (l *Ledger) Usage(group string) *Usage {
 	u := l.Usages[group]
 	if u == nil {
@@ -126,15 +133,15 @@
 	return u
 }
 
-// Take replays one stored record.
+// Take applies one stored record during recovery.
 func (l *Ledger) Take(r *statev1.LedgerRecord) {
 	if row := r.GetBudget(); row != nil {
 		l.Budget(row.GetBudget()).Row = row
-		l.dirty[row.GetBudget()] = true
+		l.dirtyBudgets[row.GetBudget()] = true
 	}
 	if row := r.GetUsage(); row != nil {
 		l.Usage(row.GetGroup()).Row = row
-		l.dirtyUse[row.GetGroup()] = true
+		l.dirtyUsages[row.GetGroup()] = true
 	}
 	if row := r.GetRequest(); row != nil {
 		l.put(row)
@@ -144,61 +151,62 @@
 	}
 }
 
-// put stores a record and keeps what is derived from it: the reserved sums,
-// the open requests of its box and the due time of its removal.
+// put sets a request's record and updates the state derived from it: the
+// reserved sums, the open requests of its box, its expiry and its pending claim.
 func (l *Ledger) put(r *statev1.RequestRecord) {
 	key := keyOf(r)
-	l.detach(key)
+	l.unindex(key)
 	l.Requests[key] = r
 	if IsOpen(r) {
 		l.Budget(r.GetBudget()).Reserved += r.GetBound()
 		l.Usage(r.GetGroup()).Reserved += r.GetBound()
-		if l.open[r.GetBox()] == nil {
-			l.open[r.GetBox()] = map[string]bool{}
+		if l.openByBox[r.GetBox()] == nil {
+			l.openByBox[r.GetBox()] = map[string]bool{}
 		}
-		l.open[r.GetBox()][key] = true
-		l.schedule(key, r.GetDeadline()+reservedGrace)
+		l.openByBox[r.GetBox()][key] = true
+		l.schedule(key, r.GetDeadline()+unstartedGraceMillis)
 	} else {
 		l.schedule(key, r.GetChanged()+l.opts.Window.Milliseconds())
 	}
 	if r.GetForeignHome() != "" && r.GetState() != statev1.RequestState_REQUEST_STATE_RELEASED {
-		l.pending[key] = true
+		l.pendingClaims[key] = true
 	}
-	l.touch(r)
+	l.markRowsDirty(r)
 }
 
-func (l *Ledger) touch(r *statev1.RequestRecord) {
+func (l *Ledger) markRowsDirty(r *statev1.RequestRecord) {
 	if r.GetBudget() != "" {
-		l.dirty[r.GetBudget()] = true
+		l.dirtyBudgets[r.GetBudget()] = true
 	}
-	l.dirtyUse[r.GetGroup()] = true
+	l.dirtyUsages[r.GetGroup()] = true
 }
 
 func (l *Ledger) remove(key string) {
-	l.detach(key)
+	l.unindex(key)
 	l.unschedule(key)
 	delete(l.Requests, key)
 }
 
-// detach takes back what put has derived from a record.
-func (l *Ledger) detach(key string) {
+// unindex removes the state that put has derived from a record, except its
+// expiry.
+func (l *Ledger) unindex(key string) {
 	r := l.Requests[key]
 	if r == nil {
 		return
 	}
-	delete(l.pending, key)
+	delete(l.pendingClaims, key)
 	if !IsOpen(r) {
 		return
 	}
 	l.Budget(r.GetBudget()).Reserved -= r.GetBound()
 	l.Usage(r.GetGroup()).Reserved -= r.GetBound()
-	delete(l.open[r.GetBox()], key)
-	if len(l.open[r.GetBox()]) == 0 {
-		delete(l.open, r.GetBox())
+	delete(l.openByBox[r.GetBox()], key)
+	if len(l.openByBox[r.GetBox()]) == 0 {
+		delete(l.openByBox, r.GetBox())
 	}
 }
 
-// IsOpen tells whether a request holds a reservation.
+// IsOpen reports whether a request holds a reservation.
 func IsOpen(r *statev1.RequestRecord) bool {
 	return r.GetState() == statev1.RequestState_REQUEST_STATE_RESERVED ||
 		r.GetState() == statev1.RequestState_REQUEST_STATE_STARTED
@@ -207,14 +215,14 @@
 // Open returns the number of requests that hold reservations.
 func (l *Ledger) Open() int {
 	n := 0
-	for _, keys := range l.open {
+	for _, keys := range l.openByBox {
 		n += len(keys)
 	}
 	return n
 }
 
-// expiry is a record's due time of a look, in Unix milliseconds. Each record
-// has one, which moves with its state.
+// expiry is the time, in Unix milliseconds, at which Expire examines a record.
+// Each record has exactly one, which is rescheduled when its state changes.
 type expiry struct {
 	at    int64
 	key   string
@@ -246,39 +254,39 @@
 	return last
 }
 
-// schedule sets when a record is looked at next.
+// schedule sets the expiry of a record.
 func (l *Ledger) schedule(key string, at int64) {
-	if e := l.due[key]; e != nil {
+	if e := l.expiryByKey[key]; e != nil {
 		e.at = at
 		heap.Fix(&l.expiries, e.index)
 		return
 	}
 	e := &expiry{at: at, key: key}
-	l.due[key] = e
+	l.expiryByKey[key] = e
 	heap.Push(&l.expiries, e)
 }
 
 func (l *Ledger) unschedule(key string) {
-	if e := l.due[key]; e != nil {
+	if e := l.expiryByKey[key]; e != nil {
 		heap.Remove(&l.expiries, e.index)
-		delete(l.due, key)
+		delete(l.expiryByKey, key)
 	}
 }
 
-// reservedGrace is how long after its deadline, in milliseconds, a reservation
-// that was never started is released.
-const reservedGrace = 60_000
+// unstartedGraceMillis is the time after its deadline, in milliseconds, at which
+// a reservation that was never started is released.
+const unstartedGraceMillis = 60_000
 
-// Expire removes records that have left the window, and releases reservations
-// that were never started by their deadline. Only rows that are due are looked
-// at.
+// Expire removes records of requests that ended longer than the window ago, and
+// releases reservations whose deadline passed without a start. It visits only
+// records that are due.
 func (l *Ledger) Expire(now Times) []*statev1.LedgerRecord {
 	var records []*statev1.LedgerRecord
 	milli := now.Wall.UnixMilli()
 	for len(l.expiries) > 0 && l.expiries[0].at <= milli {
 		key := l.expiries[0].key
-		// What stays is looked at again later.
-		l.schedule(key, milli+reservedGrace)
+		// Records that can't be removed yet are examined again later.
+		l.schedule(key, milli+unstartedGraceMillis)
 		records = append(records, l.expire(key, now)...)
 	}
 	return records
@@ -289,14 +297,14 @@
 	switch {
 	case r.GetState() == statev1.RequestState_REQUEST_STATE_RESERVED:
 		return l.Settle(r.GetGroup(), r.GetKey(), Bill{Attempt: r.GetAttempt(), NotRun: true}, now).Records
-	case IsOpen(r) || l.pending[key]:
+	case IsOpen(r) || l.pendingClaims[key]:
 		return nil
 	}
 	l.remove(key)
 	return []*statev1.LedgerRecord{{Forget: key}}
 }
 
-// Snapshot returns the whole ledger.
+// Snapshot returns the durable state of the ledger.
 func (l *Ledger) Snapshot() *statev1.LedgerSnapshot {
 	s := &statev1.LedgerSnapshot{Incarnation: l.Incarnation, Created: l.Created, Blind: l.Blind, Registered: l.Registered}
 	for _, b := range l.Budgets {
@@ -311,7 +319,7 @@
 	return s
 }
 
-// Load takes a snapshot into an empty ledger.
+// Load restores a snapshot into an empty ledger.
 func (l *Ledger) Load(s *statev1.LedgerSnapshot) {
 	l.Incarnation, l.Created = s.GetIncarnation(), s.GetCreated()
 	l.Blind, l.Registered = s.GetBlind(), s.GetRegistered()
--- a/models/ledger/ledger_test.go
+++ b/models/ledger/ledger_test.go
@@ -16,7 +16,7 @@
 	"havenwinch.dev/havenwinch/models/ledger"
 )
 
-// at returns the times so long after a test's start.
+// at returns the times at d after a test's start.
 func at(d time.Duration) ledger.Times {
 	return ledger.Times{Wall: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC).Add(d), Boot: time.Hour + d}
 }
@@ -31,7 +31,7 @@
 	return &statev1.RequestRecord{Group: groupName, Key: key, Budget: budgetName, Bound: bound, Repeatable: true, BodyDigest: "d", Deadline: at(time.Hour).Wall.UnixMilli()}
 }
 
-// timedKey is a UUID of version 7 from a time.
+// timedKey returns a UUID of version 7 with the given time.
 func timedKey(t time.Time) string {
 	id := uuid.Must(uuid.NewV7())
 	milli := t.UnixMilli()
@@ -41,7 +41,7 @@
 	return id.String()
 }
 
-// TestReserveAgain sends a key a second time after what is described.
+// TestReserveAgain reserves a key a second time after the described event.
 func TestReserveAgain(t *testing.T) {
 	start := func(l *ledger.Ledger, attempt uint32) {
 		l.Start(groupName, "k", ledger.StartOptions{Attempt: attempt, Target: "e"}, at(0))
@@ -51,14 +51,14 @@
 		later  time.Duration
 		other  bool
 		want   betweenv1.ReserveStatus
-		// attempt of the record afterwards.
+		// attempt is the record's attempt after the second reservation.
 		attempt uint32
 	}{
 		"in progress":                   {func(*ledger.Ledger) {}, 0, false, betweenv1.ReserveStatus_RESERVE_STATUS_RUNNING, 1},
 		"another body":                  {func(*ledger.Ledger) {}, 0, true, betweenv1.ReserveStatus_RESERVE_STATUS_CONFLICT, 1},
 		"its box died before a start":   {func(*ledger.Ledger) {}, 5 * time.Second, false, betweenv1.ReserveStatus_RESERVE_STATUS_GRANTED, 2},
 		"its box died after a start":    {func(l *ledger.Ledger) { start(l, 1) }, 5 * time.Second, false, betweenv1.ReserveStatus_RESERVE_STATUS_TAKEN_OVER, 2},
-		"its box beats":                 {func(l *ledger.Ledger) { start(l, 1); l.Beat("box@1", at(4*time.Second).Boot) }, 5 * time.Second, false, betweenv1.ReserveStatus_RESERVE_STATUS_RUNNING, 1},
+		"its box is alive":              {func(l *ledger.Ledger) { start(l, 1); l.Beat("box@1", at(4*time.Second).Boot) }, 5 * time.Second, false, betweenv1.ReserveStatus_RESERVE_STATUS_RUNNING, 1},
 		"billed":                        {func(l *ledger.Ledger) { start(l, 1); l.Settle(groupName, "k", ledger.Bill{Attempt: 1, Used: 3}, at(0)) }, 0, false, betweenv1.ReserveStatus_RESERVE_STATUS_DONE, 1},
 		"released":                      {func(l *ledger.Ledger) { l.Settle(groupName, "k", ledger.Bill{Attempt: 1, NotRun: true}, at(0)) }, 0, false, betweenv1.ReserveStatus_RESERVE_STATUS_GRANTED, 2},
 		"released, another body":        {func(l *ledger.Ledger) { l.Settle(groupName, "k", ledger.Bill{Attempt: 1, NotRun: true}, at(0)) }, 0, true, betweenv1.ReserveStatus_RESERVE_STATUS_CONFLICT, 1},
@@ -90,11 +90,11 @@
 		second     ledger.StartOptions
 		want       bool
 	}{
-		"an attempt that was taken over":            {true, ledger.StartOptions{Attempt: 9}, false},
-		"another target, may be repeated":           {true, ledger.StartOptions{Attempt: 1, Lost: 30}, true},
-		"another target, no room for a lost run":    {true, ledger.StartOptions{Attempt: 1, Lost: 40}, false},
-		"another target, not repeatable":            {false, ledger.StartOptions{Attempt: 1, Lost: 10}, false},
-		"not repeatable, first certainly never got": {false, ledger.StartOptions{Attempt: 1, FormerNotRun: true}, true},
+		"an attempt that was taken over":              {true, ledger.StartOptions{Attempt: 9}, false},
+		"another target, may be repeated":             {true, ledger.StartOptions{Attempt: 1, Lost: 30}, true},
+		"another target, no room for a lost run":      {true, ledger.StartOptions{Attempt: 1, Lost: 40}, false},
+		"another target, not repeatable":              {false, ledger.StartOptions{Attempt: 1, Lost: 10}, false},
+		"not repeatable, first target did not get it": {false, ledger.StartOptions{Attempt: 1, FormerNotRun: true}, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -113,8 +113,9 @@
 	}
 }
 
-// TestKeysThatCannotBeVouchedFor covers keys older than the window, and those
-// that a lost ledger may have run.
+// TestKeysThatCannotBeVouchedFor covers keys for which a missing record does not
+// prove that they have not run: keys older than the window, and keys that a lost
+// ledger may have run.
 func TestKeysThatCannotBeVouchedFor(t *testing.T) {
 	tests := map[string]struct {
 		key        string
@@ -145,7 +146,8 @@
 	}
 }
 
-// TestClaims covers what a home answers to another ledger that ran its key.
+// TestClaims covers the home ledger's answers to another ledger that ran one of
+// its keys.
 func TestClaims(t *testing.T) {
 	tests := map[string]struct {
 		before func(home *ledger.Ledger)
@@ -184,7 +186,7 @@
 				t.Error("a claim changed what the home has reserved")
 			}
 			if far.Budget(budgetName).Row.GetSpent() != 15 {
-				t.Error("what was served came back into the budget")
+				t.Error("tokens that were used returned to the budget")
 			}
 		})
 	}
@@ -195,12 +197,12 @@
 	l.Reserve(request("k", 10), "box@1", at(0))
 	jumped := ledger.Times{Wall: at(48 * time.Hour).Wall, Boot: at(time.Second).Boot}
 	if out := l.Reserve(request("k", 10), "box@2", jumped); out.Status != betweenv1.ReserveStatus_RESERVE_STATUS_RUNNING {
-		t.Errorf("after a jump of the time of day got %v", out.Status)
+		t.Errorf("got %v after the time of day jumped", out.Status)
 	}
 }
 
-// BenchmarkReserveStartSettle is one request's whole way through a ledger,
-// with many budgets and records in it.
+// BenchmarkReserveStartSettle measures reservation, start and settlement of one
+// request in a ledger with many budgets and records.
 func BenchmarkReserveStartSettle(b *testing.B) {
 	for _, n := range []int{10, 1000, 120_000} {
 		b.Run(fmt.Sprintf("budgets=%d", n), func(b *testing.B) {
@@ -227,7 +229,8 @@
 	}
 }
 
-// BenchmarkIdleTick is what a ledger does each second when nothing is due.
+// BenchmarkIdleTick measures the work that a ledger does each second when nothing
+// is due.
 func BenchmarkIdleTick(b *testing.B) {
 	for _, n := range []int{10, 1000, 120_000} {
 		b.Run(fmt.Sprintf("budgets=%d", n), func(b *testing.B) {
--- a/models/ledger/reserve.go
+++ b/models/ledger/reserve.go
@@ -13,7 +13,8 @@
 	statev1 "havenwinch.dev/havenwinch/gen/havenwinch/state/v1"
 )
 
-// Outcome is the answer to a step, with what must last before it is given.
+// Outcome is the result of an operation, with the records that must be durable
+// before it is sent. Free is what is left of the budget for reservations.
 type Outcome struct {
 	Status  betweenv1.ReserveStatus
 	Request *statev1.RequestRecord
@@ -21,44 +22,47 @@
 	Records []*statev1.LedgerRecord
 }
 
-// Times are the two readings of the clock that a step needs.
+// Times holds the current time of day and the time since the machine booted.
+// The latter does not jump when the clock is set.
 type Times struct {
 	Wall time.Time
 	Boot time.Duration
 }
 
-// Reserve decides whether a request may run. The request carries group, key,
-// budget, bound, body digest, priority, deadline and whether it is repeatable;
-// box names who would run it.
+// Reserve decides whether a request may run and reserves its bound. The record
+// must have group, key, budget, bound, body digest, priority, deadline and
+// whether it is repeatable; box is the box that will run it.
 func (l *Ledger) Reserve(r *statev1.RequestRecord, box string, now Times) Outcome {
 	l.Beat(box, now.Boot)
 	if old := l.Requests[keyOf(r)]; old != nil {
-		return l.again(old, r, box, now)
+		return l.reserveRecordedKey(old, r, box, now)
 	}
-	if status := l.vouch(r, now.Wall); status != betweenv1.ReserveStatus_RESERVE_STATUS_UNSPECIFIED {
+	if status := l.checkUnrecordedKey(r, now.Wall); status != betweenv1.ReserveStatus_RESERVE_STATUS_UNSPECIFIED {
 		return Outcome{Status: status, Request: r}
 	}
 	return l.admit(r, box, 0, now)
 }
 
-// vouch refuses keys for which a missing record does not prove that nothing ran.
-func (l *Ledger) vouch(r *statev1.RequestRecord, now time.Time) betweenv1.ReserveStatus {
-	born, timed := KeyTime(r.GetKey())
-	if timed && born < now.UnixMilli()-l.opts.Window.Milliseconds() {
+// checkUnrecordedKey returns the status that refuses a key without a record, if
+// the missing record does not prove that the request has not run: the key is
+// older than the window, or an earlier ledger that may have run it was lost.
+func (l *Ledger) checkUnrecordedKey(r *statev1.RequestRecord, now time.Time) betweenv1.ReserveStatus {
+	created, timed := KeyTime(r.GetKey())
+	if timed && created < now.UnixMilli()-l.opts.Window.Milliseconds() {
 		return betweenv1.ReserveStatus_RESERVE_STATUS_EXPIRED
 	}
 	if !l.Blind || r.GetRepeatable() {
 		return betweenv1.ReserveStatus_RESERVE_STATUS_UNSPECIFIED
 	}
-	sighted := l.Created + l.opts.Window.Milliseconds()
-	if timed && born > l.Created+clockSkew || now.UnixMilli() > sighted {
+	blindUntil := l.Created + l.opts.Window.Milliseconds()
+	if timed && created > l.Created+maxClockSkewMillis || now.UnixMilli() > blindUntil {
 		return betweenv1.ReserveStatus_RESERVE_STATUS_UNSPECIFIED
 	}
 	return betweenv1.ReserveStatus_RESERVE_STATUS_UNKNOWN
 }
 
-// KeyTime returns the time inside a key that is, or ends in ":" and, a UUID of
-// version 7 (RFC 9562), in Unix milliseconds.
+// KeyTime returns the time, in Unix milliseconds, inside a key that is a UUID of
+// version 7 (RFC 9562) or ends in ":" and such a UUID, and false for other keys.
 func KeyTime(key string) (int64, bool) {
 	const length = 36
 	if len(key) < length || (len(key) > length && key[len(key)-length-1] != ':') {
@@ -75,20 +79,23 @@
 	return milli, true
 }
 
-// again decides on a request whose key is recorded.
-func (l *Ledger) again(old, r *statev1.RequestRecord, box string, now Times) Outcome {
-	// A pointer to another holder has no digest; that holder compares.
+// reserveRecordedKey handles Reserve for a key that has a record: it refuses
+// another body, reports the state of a running or finished request, takes over
+// the request of a silent box and admits a released one.
+func (l *Ledger) reserveRecordedKey(old, r *statev1.RequestRecord, box string, now Times) Outcome {
+	// The record of a claim by another holder has no digest; that holder compares
+	// it.
 	if old.GetBodyDigest() != "" && old.GetBodyDigest() != r.GetBodyDigest() {
 		return Outcome{Status: betweenv1.ReserveStatus_RESERVE_STATUS_CONFLICT, Request: old}
 	}
 	switch old.GetState() {
 	case statev1.RequestState_REQUEST_STATE_RESERVED:
-		if l.alive(old.GetBox(), now.Boot) {
+		if l.isAlive(old.GetBox(), now.Boot) {
 			return Outcome{Status: betweenv1.ReserveStatus_RESERVE_STATUS_RUNNING, Request: old}
 		}
 		return l.takeOver(old, box, betweenv1.ReserveStatus_RESERVE_STATUS_GRANTED, now)
 	case statev1.RequestState_REQUEST_STATE_STARTED:
-		if l.alive(old.GetBox(), now.Boot) {
+		if l.isAlive(old.GetBox(), now.Boot) {
 			return Outcome{Status: betweenv1.ReserveStatus_RESERVE_STATUS_RUNNING, Request: old}
 		}
 		return l.takeOver(old, box, betweenv1.ReserveStatus_RESERVE_STATUS_TAKEN_OVER, now)
@@ -99,7 +106,7 @@
 	}
 }
 
-// admit reserves the bound under a new attempt.
+// admit reserves the request's bound and starts a new attempt.
 func (l *Ledger) admit(r *statev1.RequestRecord, box string, attempt uint32, now Times) Outcome {
 	b := l.Budget(r.GetBudget())
 	if b.Free() < r.GetBound() {
@@ -124,26 +131,30 @@
 	return l.store(next, status)
 }
 
-// store puts a changed record and returns it with its rows to be stored.
+// store sets a changed request record and returns it as the record to be made
+// durable.
 func (l *Ledger) store(r *statev1.RequestRecord, status betweenv1.ReserveStatus) Outcome {
 	l.put(r)
 	return Outcome{Status: status, Request: r, Records: []*statev1.LedgerRecord{{Request: r}}, Free: l.Budget(r.GetBudget()).Free()}
 }
 
-// StartOptions describe a start of an attempt.
+// StartOptions describes the start of an attempt.
 type StartOptions struct {
 	Attempt uint32
 	Target  string
-	// FormerNotRun says that the former target certainly never got it.
+	// FormerNotRun is set if the previous target certainly did not receive the
+	// request.
 	FormerNotRun bool
-	// Lost is what the former target may have used; it is written off.
+	// Lost is the number of tokens that the previous target may have used. They
+	// are written off.
 	Lost uint64
 }
 
-// Start notes, before anything is sent, that an attempt goes to a target. It
-// refuses an attempt that was taken over, a second target for a request that
-// may not be repeated unless the first certainly never got it, and a second
-// target for which the budget has no room besides what the first may have used.
+// Start records that an attempt is sent to a target; it must be called before
+// anything is sent. It returns false for an attempt that was taken over, for a
+// second target of a request that is not repeatable unless the first target
+// certainly did not receive it, and for a second target if the budget can't
+// cover what the first may have used in addition to the request's bound.
 func (l *Ledger) Start(group, key string, opts StartOptions, now Times) (Outcome, bool) {
 	old := l.Requests[RequestKey(group, key)]
 	if old == nil || !IsOpen(old) || old.GetAttempt() != opts.Attempt {
@@ -165,12 +176,13 @@
 	if l.Budget(old.GetBudget()).Free() < lost {
 		return Outcome{Request: old}, false
 	}
-	l.lose(next, lost)
+	l.chargeLostRun(next, lost)
 	return l.storeWithRows(next), true
 }
 
-// lose writes off what an earlier run of a request may have used.
-func (l *Ledger) lose(r *statev1.RequestRecord, tokens uint64) {
+// chargeLostRun charges the tokens that an earlier run of a request may have
+// used to the budget, and writes them off instead of billing them.
+func (l *Ledger) chargeLostRun(r *statev1.RequestRecord, tokens uint64) {
 	r.WrittenOff += tokens
 	b := l.Budget(r.GetBudget())
 	b.Row = proto.CloneOf(b.Row)
@@ -181,25 +193,26 @@
 	u.Row.WrittenOff += tokens
 }
 
-// Beat notes that a box is at work.
-func (l *Ledger) Beat(box string, boot time.Duration) { l.beats[box] = boot }
+// Beat records a sign of life of a box.
+func (l *Ledger) Beat(box string, boot time.Duration) { l.lastBeats[box] = boot }
 
-// alive tells whether a box was heard of lately. A box that was never heard of
-// counts from the start of this process.
-func (l *Ledger) alive(box string, boot time.Duration) bool {
-	last, ok := l.beats[box]
+// isAlive reports whether the last message from a box is less than BoxTimeout
+// ago. For a box without a message the time counts from the start of this
+// process.
+func (l *Ledger) isAlive(box string, boot time.Duration) bool {
+	last, ok := l.lastBeats[box]
 	if !ok {
-		last = l.began
+		last = l.startedAt
 	}
 	return boot-last < l.opts.BoxTimeout
 }
 
-// Orphans returns the open requests of boxes that have fallen silent, at most
-// n of them. Only boxes with open requests are looked at.
+// Orphans returns at most n open requests of boxes that are no longer alive. It
+// visits only boxes with open requests.
 func (l *Ledger) Orphans(boot time.Duration, n int) []*statev1.RequestRecord {
 	var orphans []*statev1.RequestRecord
-	for box, keys := range l.open {
-		if l.alive(box, boot) {
+	for box, keys := range l.openByBox {
+		if l.isAlive(box, boot) {
 			continue
 		}
 		for key := range keys {
--- a/models/ledger/settle.go
+++ b/models/ledger/settle.go
@@ -13,19 +13,20 @@
 	"havenwinch.dev/havenwinch/modules/digest"
 )
 
-// Bill is how an attempt ended.
+// Bill is the result of an attempt. Used is the number of tokens it used.
 type Bill struct {
 	Attempt uint32
 	Used    uint64
-	// NotRun says that the request certainly was not run; nothing is billed.
+	// NotRun is set if the request certainly was not run. Nothing is billed.
 	NotRun bool
-	// Uncertain says that it is not known whether the request was run.
+	// Uncertain is set if it is unknown whether the request was run.
 	Uncertain bool
 }
 
-// Settle ends an attempt: it bills what was used, at most the bound, or
-// releases a request that certainly was not run. Repeating it, or settling an
-// attempt that was taken over, changes nothing and returns the record.
+// Settle ends an attempt: it bills the used tokens, at most the bound, or
+// releases the reservation of a request that was not run. It is idempotent. A
+// repeated settlement or that of an attempt that was taken over changes nothing
+// and returns the current record.
 func (l *Ledger) Settle(group, key string, bill Bill, now Times) Outcome {
 	old := l.Requests[RequestKey(group, key)]
 	if old == nil || !IsOpen(old) || old.GetAttempt() != bill.Attempt {
@@ -47,8 +48,8 @@
 	return l.storeWithRows(next)
 }
 
-// charge takes a billed amount out of the budget. Rows are replaced, never
-// changed, since a stored row may still be on its way to the disk.
+// charge deducts a billed amount from the budget. Rows are replaced and never
+// modified, since an earlier version may still be waiting to be written to disk.
 func (l *Ledger) charge(r *statev1.RequestRecord) {
 	b := l.Budget(r.GetBudget())
 	b.Row = proto.CloneOf(b.Row)
@@ -59,8 +60,8 @@
 	u.Row.Requests++
 }
 
-// writeOff takes a billed amount off the bill. The tokens were served, so they
-// stay out of the budget: giving them back could lead to overspending.
+// writeOff voids a request's bill. The tokens were used, so they remain deducted
+// from the budget: returning them could lead to overspending.
 func (l *Ledger) writeOff(r *statev1.RequestRecord) {
 	r.State = statev1.RequestState_REQUEST_STATE_VOIDED
 	r.WrittenOff += r.GetBilled()
@@ -70,8 +71,9 @@
 	r.Billed = 0
 }
 
-// ReleaseUnseen releases what a box has reserved without seeing the answer,
-// as long as it has not been started.
+// ReleaseUnseen releases a reservation whose answer did not reach the box that
+// asked for it, unless it was started or taken over since. The record must
+// exist.
 func (l *Ledger) ReleaseUnseen(group, key, box string, now Times) Outcome {
 	old := l.Requests[RequestKey(group, key)]
 	if old.GetState() != statev1.RequestState_REQUEST_STATE_RESERVED || old.GetBox() != box {
@@ -90,9 +92,10 @@
 	return Outcome{Status: betweenv1.ReserveStatus_RESERVE_STATUS_DONE, Request: r, Records: []*statev1.LedgerRecord{record}}
 }
 
-// Claim answers, as the home of a key, a holder that ran it while this home
-// could not be reached. The first claim wins; a record of this ledger that
-// holds or ends a run wins against every claim.
+// Claim decides, as the home ledger of a key, whether another holder that ran
+// the key while this ledger was unreachable may bill it. The first claim is
+// granted. A record of this ledger that is open or finished takes precedence
+// over every claim.
 func (l *Ledger) Claim(r *statev1.RequestRecord, holder string, now Times) (granted bool, claimedBy string, out Outcome) {
 	old := l.Requests[keyOf(r)]
 	if old != nil && old.GetClaimedBy() != "" {
@@ -101,20 +104,21 @@
 	if old != nil && old.GetState() != statev1.RequestState_REQUEST_STATE_RELEASED {
 		return false, l.Incarnation, Outcome{}
 	}
-	pointer := &statev1.RequestRecord{
+	claim := &statev1.RequestRecord{
 		Group:     r.GetGroup(),
 		Key:       r.GetKey(),
 		ClaimedBy: holder,
 		Created:   now.Wall.UnixMilli(),
 		Changed:   now.Wall.UnixMilli(),
 	}
-	return true, holder, l.store(pointer, betweenv1.ReserveStatus_RESERVE_STATUS_DONE)
+	return true, holder, l.store(claim, betweenv1.ReserveStatus_RESERVE_STATUS_DONE)
 }
 
-// Pending returns records whose home must still be asked, at most n.
+// Pending returns at most n records whose claim the home ledger has not answered
+// yet.
 func (l *Ledger) Pending(n int) []*statev1.RequestRecord {
 	var list []*statev1.RequestRecord
-	for key := range l.pending {
+	for key := range l.pendingClaims {
 		if len(list) == n {
 			break
 		}
@@ -123,8 +127,8 @@
 	return list
 }
 
-// Claimed takes the home's answer in. When another holder bills the key, what
-// was or will be billed here is written off.
+// Claimed applies the home ledger's answer to a claim. If another holder bills
+// the key, this ledger's bill is written off, now or when the request is settled.
 func (l *Ledger) Claimed(group, key string, granted bool, claimedBy string, now Times) Outcome {
 	old := l.Requests[RequestKey(group, key)]
 	if old == nil || old.GetForeignHome() == "" {
@@ -143,11 +147,12 @@
 	return l.storeWithRows(next)
 }
 
-// streamIDDigits is the length of a run's name at its target.
+// streamIDDigits is the length of a StreamID.
 const streamIDDigits = 32
 
-// StreamID names a run at its target. It depends on the record alone, so that
-// whoever takes a request over finds its run; it shows neither group nor key.
+// StreamID returns the id of a request's run at its target. It depends only on
+// the record, so that a box that takes the request over finds the run, and is a
+// digest, so that it reveals neither group nor key.
 func StreamID(r *statev1.RequestRecord, runs uint32) string {
 	number := []byte(strconv.FormatUint(uint64(runs), 10))
 	return digest.Of([]byte(r.GetGroup()), []byte(r.GetKey()), number)[:streamIDDigits]
