--- a/models/queue/queue.go
+++ b/models/queue/queue.go
@@ -1,12 +1,12 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package queue orders the requests that wait at one box for a target. Each
-// organisation has a counter of the tokens it was served, divided by its
-// share; the waiting organisation with the lowest counter goes next (the
-// virtual token counter of Sheng et al., "Fairness in Serving Large Language
-// Models", 2024). Interactive requests go before batch ones, except that every
-// few picks belong to batch, so that it is never starved.
+// Package queue schedules the requests that wait at one box for a target. It
+// counts the tokens served to each organisation, divided by its share, and
+// serves the waiting organisation with the lowest counter next (the virtual
+// token counter of Sheng et al., "Fairness in Serving Large Language Models",
+// 2024). Interactive requests go before batch requests, except that one of every
+// BatchEvery picks goes to batch, so that batch requests are not starved.
 package queue
 
 import (
@@ -14,27 +14,29 @@
 	"time"
 )
 
-// BatchEvery is how many picks there are for each that belongs to batch while
-// both kinds wait.
+// BatchEvery is the number of picks of which one goes to a batch request while
+// both interactive and batch requests wait.
 const BatchEvery = 8
 
 // Item is a waiting request.
 type Item struct {
 	Organisation string
 	Interactive  bool
-	// Pool names the model or service whose targets it waits for.
+	// Pool is the name of the model or service whose targets the request waits
+	// for.
 	Pool string
-	// Tokens is its bound, the cost that is counted when it is picked.
+	// Tokens is the request's bound, which is charged when it is taken.
 	Tokens int
-	// Work is the most tokens it may generate, the measure of its run time.
+	// Work is the maximum number of tokens that the request may generate, a
+	// measure of its run time.
 	Work int
-	// Deadline is the boot time by which it must have its answer.
+	// Deadline is the boot time by which the request must be answered.
 	Deadline time.Duration
 	// Payload is the waiting request itself.
-	Payload any
-	order   uint64
-	pool    *pool
-	index   int
+	Payload  any
+	sequence uint64
+	pool     *pool
+	index    int
 }
 
 // Queue holds the waiting requests of a box. It is not safe for concurrent
@@ -42,56 +44,61 @@
 type Queue struct {
 	shares func(organisation string) int
 	pools  map[string]*pool
-	// served holds tokens by share of each organisation that waits or was
-	// served; floor is the lowest counter a newly waiting one starts from.
-	served map[string]float64
-	floor  float64
-	order  uint64
-	count  int
-	tokens int
+	// virtualTokens holds, by organisation, the tokens served divided by its
+	// share. virtualFloor is the minimum from which an organisation starts when
+	// it adds a request.
+	virtualTokens map[string]float64
+	virtualFloor  float64
+	sequence      uint64
+	count         int
+	tokens        int
 }
 
-// pool holds the requests for one model or service.
+// pool holds the requests for one model or service. classes holds batch requests
+// at index 0 and interactive requests at index 1; picks counts the taken ones.
 type pool struct {
-	name  string
-	lanes [2]lane
-	picks int
+	name    string
+	classes [2]priorityClass
+	picks   int
 }
 
-// lane holds the requests of one priority by organisation.
-type lane struct {
-	byOrganisation map[string]*fifo
+// priorityClass holds the requests of one priority by organisation. work is the
+// sum of their Work.
+type priorityClass struct {
+	byOrganisation map[string]*deadlineHeap
 	count          int
 	work           int
 }
 
-// Load is the work that waits, by kind.
+// Load is the sum of the waiting requests' Work by priority.
 type Load struct {
 	Interactive int
 	Batch       int
 }
 
-// Load returns the work that waits in a pool.
+// Load returns the load of a pool, zero for one without waiting requests.
 func (q *Queue) Load(poolName string) Load {
 	p := q.pools[poolName]
 	if p == nil {
 		return Load{}
 	}
-	return Load{Interactive: p.lanes[laneOf(true)].work, Batch: p.lanes[laneOf(false)].work}
+	return Load{Interactive: p.classes[classIndex(true)].work, Batch: p.classes[classIndex(false)].work}
 }
 
-// New returns an empty queue; shares gives an organisation's weight.
+// New returns an empty queue. shares returns an organisation's weight; values
+// below 1 count as 1.
 func New(shares func(organisation string) int) *Queue {
-	return &Queue{shares: shares, pools: map[string]*pool{}, served: map[string]float64{}}
+	return &Queue{shares: shares, pools: map[string]*pool{}, virtualTokens: map[string]float64{}}
 }
 
-// Len returns the number of waiting requests, Tokens their bounds' sum.
+// Len returns the number of waiting requests.
 func (q *Queue) Len() int { return q.count }
 
 // Tokens returns the sum of the waiting requests' bounds.
 func (q *Queue) Tokens() int { return q.tokens }
 
-// Pools returns the names of the pools for which requests wait.
+// Pools returns the names of the pools with waiting requests, in no particular
+// order.
 func (q *Queue) Pools() []string {
 	names := make([]string, 0, len(q.pools))
 	for name := range q.pools {
@@ -100,87 +107,89 @@
 	return names
 }
 
-// Ahead returns how many requests a new one would find before it, counting
-// only interactive ones for an interactive request.
+// Ahead returns the number of requests in a pool that a new request would wait
+// behind. For an interactive request only interactive ones count.
 func (q *Queue) Ahead(poolName string, interactive bool) int {
 	p := q.pools[poolName]
 	if p == nil {
 		return 0
 	}
 	if interactive {
-		return p.lanes[laneOf(true)].count
+		return p.classes[classIndex(true)].count
 	}
-	return p.lanes[0].count + p.lanes[1].count
+	return p.classes[0].count + p.classes[1].count
 }
 
-func laneOf(interactive bool) int {
+func classIndex(interactive bool) int {
 	if interactive {
 		return 1
 	}
 	return 0
 }
 
-// Add appends a request.
+// Add adds a request to the pool that it names.
 func (q *Queue) Add(it *Item) {
 	p := q.pools[it.Pool]
 	if p == nil {
 		p = &pool{name: it.Pool}
 		q.pools[it.Pool] = p
 	}
-	q.order++
-	it.order = q.order
+	q.sequence++
+	it.sequence = q.sequence
 	it.pool = p
-	// An organisation that was away may not claim the time it was away for.
-	q.served[it.Organisation] = max(q.served[it.Organisation], q.floor)
-	p.lanes[laneOf(it.Interactive)].add(it)
+	// An organisation gains no credit for the time in which it had no requests.
+	q.virtualTokens[it.Organisation] = max(q.virtualTokens[it.Organisation], q.virtualFloor)
+	p.classes[classIndex(it.Interactive)].add(it)
 	q.count++
 	q.tokens += it.Tokens
 }
 
-// Remove takes a request out that gave up; a picked one is left alone.
+// Remove removes a request that is no longer waited for. It does nothing for one
+// that was already taken or removed.
 func (q *Queue) Remove(it *Item) {
 	if it.pool == nil {
 		return
 	}
-	it.pool.lanes[laneOf(it.Interactive)].remove(it)
-	q.left(it)
+	it.pool.classes[classIndex(it.Interactive)].remove(it)
+	q.detach(it)
 }
 
-func (q *Queue) left(it *Item) {
+func (q *Queue) detach(it *Item) {
 	p := it.pool
 	it.pool = nil
 	q.count--
 	q.tokens -= it.Tokens
-	if p.lanes[0].count+p.lanes[1].count == 0 {
+	if p.classes[0].count+p.classes[1].count == 0 {
 		delete(q.pools, p.name)
 	}
 }
 
-// Next returns the request that is next in a pool, without taking it, nil when
-// none waits. interactiveOnly restricts it to interactive requests.
+// Next returns the next request of a pool without removing it, or nil if there
+// is none. interactiveOnly restricts the choice to interactive requests.
 func (q *Queue) Next(poolName string, interactiveOnly bool) *Item {
 	p := q.pools[poolName]
 	if p == nil {
 		return nil
 	}
-	at := laneOf(true)
-	if p.lanes[1].count == 0 || (p.lanes[0].count > 0 && p.picks%BatchEvery == BatchEvery-1) {
-		at = laneOf(false)
+	class := classIndex(true)
+	if p.classes[1].count == 0 || (p.classes[0].count > 0 && p.picks%BatchEvery == BatchEvery-1) {
+		class = classIndex(false)
 	}
 	if interactiveOnly {
-		at = laneOf(true)
+		class = classIndex(true)
 	}
-	return q.first(&p.lanes[at])
+	return q.leastServed(&p.classes[class])
 }
 
-// first returns the first request of the organisation served least.
-func (q *Queue) first(l *lane) *Item {
-	var best *fifo
+// leastServed returns the first request of the organisation with the lowest
+// counter, or nil. Between equal counters the request added first wins.
+func (q *Queue) leastServed(c *priorityClass) *Item {
+	var best *deadlineHeap
 	lowest := 0.0
-	for organisation, f := range l.byOrganisation {
-		served := q.served[organisation]
-		if best == nil || served < lowest || (served == lowest && f.items[0].order < best.items[0].order) {
-			best, lowest = f, served
+	for organisation, h := range c.byOrganisation {
+		served := q.virtualTokens[organisation]
+		if best == nil || served < lowest || (served == lowest && h.items[0].sequence < best.items[0].sequence) {
+			best, lowest = h, served
 		}
 	}
 	if best == nil {
@@ -189,32 +198,34 @@
 	return best.items[0]
 }
 
-// Take removes a request that gets a target and counts its tokens.
+// Take removes a waiting request that is assigned a target and charges its
+// tokens.
 func (q *Queue) Take(it *Item) {
 	p := it.pool
 	p.picks++
-	p.lanes[laneOf(it.Interactive)].remove(it)
-	q.left(it)
+	p.classes[classIndex(it.Interactive)].remove(it)
+	q.detach(it)
 	q.Charge(it.Organisation, it.Tokens)
 }
 
-// Charge counts tokens for an organisation; negative ones correct a bound that
-// was not used up.
+// Charge adds tokens to an organisation's counter. A negative number corrects an
+// earlier charge whose bound was not used up.
 func (q *Queue) Charge(organisation string, tokens int) {
 	share := max(1, q.shares(organisation))
-	q.served[organisation] += float64(tokens) / float64(share)
+	q.virtualTokens[organisation] += float64(tokens) / float64(share)
 	if tokens > 0 {
-		q.floor = max(q.floor, q.lowestWaiting())
+		q.virtualFloor = max(q.virtualFloor, q.lowestWaiting())
 	}
 }
 
-// lowestWaiting is the lowest counter among waiting organisations.
+// lowestWaiting returns the lowest counter of the organisations with waiting
+// requests, or virtualFloor if there are none.
 func (q *Queue) lowestWaiting() float64 {
-	lowest, found := q.floor, false
+	lowest, found := q.virtualFloor, false
 	for _, p := range q.pools {
-		for i := range p.lanes {
-			for organisation := range p.lanes[i].byOrganisation {
-				if served := q.served[organisation]; !found || served < lowest {
+		for i := range p.classes {
+			for organisation := range p.classes[i].byOrganisation {
+				if served := q.virtualTokens[organisation]; !found || served < lowest {
 					lowest, found = served, true
 				}
 			}
@@ -223,55 +234,56 @@
 	return lowest
 }
 
-func (l *lane) add(it *Item) {
-	if l.byOrganisation == nil {
-		l.byOrganisation = map[string]*fifo{}
+func (c *priorityClass) add(it *Item) {
+	if c.byOrganisation == nil {
+		c.byOrganisation = map[string]*deadlineHeap{}
 	}
-	f := l.byOrganisation[it.Organisation]
-	if f == nil {
-		f = &fifo{}
-		l.byOrganisation[it.Organisation] = f
+	h := c.byOrganisation[it.Organisation]
+	if h == nil {
+		h = &deadlineHeap{}
+		c.byOrganisation[it.Organisation] = h
 	}
-	heap.Push(f, it)
-	l.count++
-	l.work += it.Work
+	heap.Push(h, it)
+	c.count++
+	c.work += it.Work
 }
 
-func (l *lane) remove(it *Item) {
-	f := l.byOrganisation[it.Organisation]
-	heap.Remove(f, it.index)
-	if f.Len() == 0 {
-		delete(l.byOrganisation, it.Organisation)
+func (c *priorityClass) remove(it *Item) {
+	h := c.byOrganisation[it.Organisation]
+	heap.Remove(h, it.index)
+	if h.Len() == 0 {
+		delete(c.byOrganisation, it.Organisation)
 	}
-	l.count--
-	l.work -= it.Work
+	c.count--
+	c.work -= it.Work
 }
 
-// fifo orders the requests of one organisation by deadline, then arrival.
-type fifo struct{ items []*Item }
+// deadlineHeap is a min-heap of one organisation's requests by deadline, then by
+// arrival.
+type deadlineHeap struct{ items []*Item }
 
-func (f *fifo) Len() int { return len(f.items) }
-func (f *fifo) Less(i, j int) bool {
-	if f.items[i].Deadline != f.items[j].Deadline {
-		return f.items[i].Deadline < f.items[j].Deadline
+func (h *deadlineHeap) Len() int { return len(h.items) }
+func (h *deadlineHeap) Less(i, j int) bool {
+	if h.items[i].Deadline != h.items[j].Deadline {
+		return h.items[i].Deadline < h.items[j].Deadline
 	}
-	return f.items[i].order < f.items[j].order
+	return h.items[i].sequence < h.items[j].sequence
 }
-func (f *fifo) Swap(i, j int) {
-	f.items[i], f.items[j] = f.items[j], f.items[i]
-	f.items[i].index, f.items[j].index = i, j
+func (h *deadlineHeap) Swap(i, j int) {
+	h.items[i], h.items[j] = h.items[j], h.items[i]
+	h.items[i].index, h.items[j].index = i, j
 }
 
 // Push implements heap.Interface.
-func (f *fifo) Push(x any) {
+func (h *deadlineHeap) Push(x any) {
 	it := x.(*Item)
-	it.index = len(f.items)
-	f.items = append(f.items, it)
+	it.index = len(h.items)
+	h.items = append(h.items, it)
 }
 
 // Pop implements heap.Interface.
-func (f *fifo) Pop() any {
-	last := f.items[len(f.items)-1]
-	f.items = f.items[:len(f.items)-1]
+func (h *deadlineHeap) Pop() any {
+	last := h.items[len(h.items)-1]
+	h.items = h.items[:len(h.items)-1]
 	return last
 }
--- a/models/queue/queue_test.go
+++ b/models/queue/queue_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// drain takes n requests and counts them by organisation and kind.
+// drain takes up to n requests and counts them by organisation, and the
+// interactive ones under "interactive".
 func drain(q *Queue, n int) map[string]int {
 	counts := map[string]int{}
 	for range n {
@@ -39,11 +40,11 @@
 		take   int
 		want   map[string]int
 	}{
-		"equal shares":                               {nil, func(q *Queue) { add(q, 50, "a", false, 10); add(q, 50, "b", false, 10) }, 40, map[string]int{"a": 20, "b": 20}},
-		"shares weigh":                               {map[string]int{"a": 3}, func(q *Queue) { add(q, 50, "a", false, 10); add(q, 50, "b", false, 10) }, 40, map[string]int{"a": 30, "b": 10}},
-		"tokens count, not requests":                 {nil, func(q *Queue) { add(q, 50, "a", false, 30); add(q, 50, "b", false, 10) }, 40, map[string]int{"a": 10, "b": 30}},
-		"a large batch does not hold urgent work up": {nil, func(q *Queue) { add(q, 500, "bulk", false, 10); add(q, 7, "urgent", true, 10) }, 7, map[string]int{"urgent": 7, "interactive": 7}},
-		"a large batch still moves":                  {nil, func(q *Queue) { add(q, 500, "bulk", false, 10); add(q, 500, "urgent", true, 10) }, 80, map[string]int{"urgent": 70, "interactive": 70, "bulk": 10}},
+		"equal shares":                                 {nil, func(q *Queue) { add(q, 50, "a", false, 10); add(q, 50, "b", false, 10) }, 40, map[string]int{"a": 20, "b": 20}},
+		"shares are weights":                           {map[string]int{"a": 3}, func(q *Queue) { add(q, 50, "a", false, 10); add(q, 50, "b", false, 10) }, 40, map[string]int{"a": 30, "b": 10}},
+		"tokens count, not requests":                   {nil, func(q *Queue) { add(q, 50, "a", false, 30); add(q, 50, "b", false, 10) }, 40, map[string]int{"a": 10, "b": 30}},
+		"a large batch does not delay urgent requests": {nil, func(q *Queue) { add(q, 500, "bulk", false, 10); add(q, 7, "urgent", true, 10) }, 7, map[string]int{"urgent": 7, "interactive": 7}},
+		"a large batch is not starved":                 {nil, func(q *Queue) { add(q, 500, "bulk", false, 10); add(q, 500, "urgent", true, 10) }, 80, map[string]int{"urgent": 70, "interactive": 70, "bulk": 10}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -59,13 +60,13 @@
 	}
 }
 
-func TestAbsenceEarnsNothing(t *testing.T) {
+func TestIdleOrganisationGainsNoCredit(t *testing.T) {
 	q := New(func(string) int { return 1 })
 	add(q, 200, "a", false, 10)
 	drain(q, 100)
 	add(q, 100, "late", false, 10)
 	if got := drain(q, 50); got["late"] > 27 || got["late"] < 23 {
-		t.Errorf("an organisation that came late got %d of 50 picks", got["late"])
+		t.Errorf("an organisation that was idle before got %d of 50 picks", got["late"])
 	}
 }
 
@@ -78,7 +79,7 @@
 		q.Add(it)
 	}
 	if q.Next("m", false) != items[9] {
-		t.Error("the earliest deadline is not next")
+		t.Error("the request with the earliest deadline is not next")
 	}
 	q.Remove(items[9])
 	q.Remove(items[9])
@@ -87,7 +88,7 @@
 	}
 	drain(q, 9)
 	if q.Len() != 0 || len(q.Pools()) != 0 || q.Next("m", true) != nil {
-		t.Error("an empty queue is not empty")
+		t.Error("requests are left after all were taken")
 	}
 }
 
