--- a/models/state/budget.go
+++ b/models/state/budget.go
@@ -12,17 +12,17 @@
 	statev1 "havenwinch.dev/havenwinch/gen/havenwinch/state/v1"
 )
 
-// Budget is a prepaid amount, split among holders as in an escrow (O'Neil
-// 1986; bounded counters, Balegas et al. 2015). What is granted is at any time
-// at least what all holders together were allotted and have not returned, and
-// a holder spends only from that, so no cut can lead to overspending.
+// Budget is a prepaid number of tokens, split among holders by the escrow method
+// (O'Neil 1986; bounded counters, Balegas et al. 2015). At any time the tokens
+// that holders were allotted and have not returned are at most the granted ones.
+// A holder spends only its own, so a partition can't lead to overspending.
 type Budget struct {
 	Name    string
 	Granted uint64
-	// Allotments stand in the order of their holders' names; a budget has few,
-	// and a table for each would take more memory than the rows.
+	// Allotments are sorted by the holder's name. A budget has few of them, and a
+	// map per budget would take more memory than the rows.
 	Allotments []*statev1.Allotment
-	// held is the sum over all holders of allotted less returned.
+	// held is the sum of Held over all allotments.
 	held uint64
 }
 
@@ -34,7 +34,7 @@
 	return &statev1.Budget{Name: b.Name, Granted: b.Granted, Allotments: slices.Clone(b.Allotments)}
 }
 
-func budgetOf(row *statev1.Budget) *Budget {
+func budgetFromRow(row *statev1.Budget) *Budget {
 	b := newBudget(row.GetName(), row.GetGranted())
 	for _, a := range row.GetAllotments() {
 		b.insert(a)
@@ -43,11 +43,12 @@
 	return b
 }
 
-// Held is what a holder was allotted and has not returned, spent or not.
+// Held returns the number of tokens, spent or not, that a holder was allotted and
+// has not returned.
 func Held(a *statev1.Allotment) uint64 { return a.GetAllotted() - a.GetReturned() }
 
-// Unallotted is what no holder has; zero also where the amount was lowered
-// below what holders have.
+// Unallotted returns the number of granted tokens that no holder has. It is zero
+// if the grant was reduced below what holders have.
 func (b *Budget) Unallotted() uint64 {
 	if b.Granted < b.held {
 		return 0
@@ -55,10 +56,10 @@
 	return b.Granted - b.held
 }
 
-// HeldByAll is what all holders together have, spent or not.
+// HeldByAll returns the sum of Held over all holders.
 func (b *Budget) HeldByAll() uint64 { return b.held }
 
-// Spent is what all holders have reported as spent.
+// Spent returns the sum of the tokens that holders have reported as spent.
 func (b *Budget) Spent() uint64 {
 	spent := uint64(0)
 	for _, a := range b.Allotments {
@@ -67,7 +68,7 @@
 	return spent
 }
 
-// Of returns a holder's row, nil when it has none.
+// Of returns a holder's allotment, or nil if it has none.
 func (b *Budget) Of(holder string) *statev1.Allotment {
 	if at, found := b.find(holder); found {
 		return b.Allotments[at]
@@ -86,8 +87,9 @@
 	b.Allotments = slices.Insert(b.Allotments, at, a)
 }
 
-// replace puts a fresh copy of a holder's row in place of the old one, for the
-// caller to change: a snapshot may hold the old one.
+// replace replaces a holder's row by a copy, or by a new row if there is none, and
+// returns it for modification. The old row must not be modified, since a snapshot
+// may refer to it.
 func (b *Budget) replace(holder string) *statev1.Allotment {
 	at, found := b.find(holder)
 	if !found {
@@ -99,7 +101,7 @@
 	return b.Allotments[at]
 }
 
-// grant allots at most the named tokens.
+// grant allots tokens to a holder, at most the unallotted ones.
 func (b *Budget) grant(holder string, tokens uint64) {
 	tokens = min(tokens, b.Unallotted())
 	if tokens == 0 {
@@ -109,8 +111,9 @@
 	b.held += tokens
 }
 
-// report takes a holder's counters in; older ones change nothing.
-func (b *Budget) report(holder string, r *statev1.BudgetReport) {
+// applyReport applies a holder's reported counters. Values of returned and spent
+// lower than the known ones come from an older report and are ignored.
+func (b *Budget) applyReport(holder string, r *statev1.BudgetReport) {
 	a := b.replace(holder)
 	if r.GetReturned() > a.GetReturned() && r.GetReturned() <= a.GetAllotted() {
 		b.held -= r.GetReturned() - a.GetReturned()
@@ -120,7 +123,7 @@
 	a.Reserved, a.Rate, a.Need = r.GetReserved(), r.GetRate(), r.GetNeed()
 }
 
-// ErrHolderLost says that a ledger is no longer in force.
+// ErrHolderLost reports that a ledger is not the registered one of its box.
 type ErrHolderLost struct {
 	Holder string
 }
@@ -129,11 +132,12 @@
 	return "ledger " + e.Holder + " is not in force: register it, or start the box with an empty data folder"
 }
 
-// SyncAnswer is the answer to a Sync.
+// SyncAnswer is the result of applying a Sync.
 type SyncAnswer struct {
-	// Budgets are the names that were reported or granted.
+	// Budgets holds the names of the reported budgets.
 	Budgets []string
-	Err     error
+	// Err is an ErrHolderLost, or nil.
+	Err error
 }
 
 func (s *State) applySync(m *statev1.Sync) SyncAnswer {
@@ -143,8 +147,8 @@
 	var names []string
 	for _, r := range m.GetReports() {
 		if b := s.Budgets[r.GetBudget()]; b != nil {
-			b.report(m.GetHolder(), r)
-			s.told(m.GetHolder(), b.Name)
+			b.applyReport(m.GetHolder(), r)
+			s.clearUntold(m.GetHolder(), b.Name)
 			names = append(names, b.Name)
 		}
 	}
@@ -157,7 +161,8 @@
 	return SyncAnswer{Budgets: names}
 }
 
-// grant allots tokens; a holder that did not ask is told with its next report.
+// grant allots tokens to a holder. One other than the asker is recorded in Untold
+// and learns of the grant in the answer to its next report.
 func (s *State) grant(asker string, g *statev1.Grant) {
 	b := s.Budgets[g.GetBudget()]
 	holder := g.GetHolder()
@@ -169,18 +174,18 @@
 	}
 	b.grant(holder, g.GetTokens())
 	if holder != asker {
-		s.tell(holder, b.Name)
+		s.markUntold(holder, b.Name)
 	}
 }
 
-func (s *State) tell(holder, budget string) {
+func (s *State) markUntold(holder, budget string) {
 	if s.Untold[holder] == nil {
 		s.Untold[holder] = map[string]bool{}
 	}
 	s.Untold[holder][budget] = true
 }
 
-func (s *State) told(holder, budget string) {
+func (s *State) clearUntold(holder, budget string) {
 	delete(s.Untold[holder], budget)
 	if len(s.Untold[holder]) == 0 {
 		delete(s.Untold, holder)
@@ -207,7 +212,7 @@
 	s.Usages[u.GetGroup()] = rows
 }
 
-// InForce tells whether a ledger is the one of its box that counts.
+// InForce reports whether a ledger is the registered one of its box.
 func (s *State) InForce(holder string) bool {
 	for _, k := range s.Keepers {
 		if k.GetHolder() == holder {
@@ -217,16 +222,17 @@
 	return false
 }
 
-// RegisterAnswer is the answer to a RegisterKeeper.
+// RegisterAnswer is the result of applying a RegisterKeeper. Err is an
+// ErrHolderLost if a later ledger of the box has replaced this one.
 type RegisterAnswer struct {
 	Holder string
 	Err    error
 }
 
-// Holder is the name of a keeper's ledger.
+// Holder returns the name of a keeper's ledger.
 func Holder(box, incarnation string) string { return box + "@" + incarnation }
 
-func (s *State) applyRegister(r *statev1.RegisterKeeper) RegisterAnswer {
+func (s *State) applyRegisterKeeper(r *statev1.RegisterKeeper) RegisterAnswer {
 	holder := Holder(r.GetBox(), r.GetIncarnation())
 	old := s.Keepers[r.GetBox()]
 	for _, lost := range old.GetLost() {
@@ -239,8 +245,8 @@
 	case old != nil:
 		next.Joined = old.GetJoined()
 	case len(s.Keys) == 0:
-		// No caller can have sent anything yet, so no other keeper can have a
-		// record of a key that is at home here.
+		// Without access keys no caller can have sent a request yet, so no other
+		// keeper can have a record of a key whose home is this one.
 		next.Joined = 0
 	}
 	next.Lost = append(next.Lost, old.GetLost()...)
--- a/models/state/command.go
+++ b/models/state/command.go
@@ -12,10 +12,10 @@
 	"havenwinch.dev/havenwinch/modules/digest"
 )
 
-// Refusal is the kind of a refused command.
+// Refusal is the reason code of a refused command, as returned to the operator.
 type Refusal string
 
-// Kinds of refused commands.
+// Reason codes of refused commands.
 const (
 	RefusalNumberTaken   Refusal = "number_taken"
 	RefusalNumberTooOld  Refusal = "number_too_old"
@@ -32,7 +32,7 @@
 	pathName   = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}/[a-z0-9][a-z0-9._-]{0,62}$`)
 )
 
-// refused is a command that changes nothing.
+// refused is the refusal of a command, which then changes nothing.
 type refused struct {
 	kind    Refusal
 	message string
@@ -42,7 +42,8 @@
 	return &refused{kind: kind, message: fmt.Sprintf(format, args...)}
 }
 
-// applyCommand answers a resent command as before and runs a new one.
+// applyCommand executes a new command, and returns the stored result of a command
+// that was sent again.
 func (s *State) applyCommand(c *statev1.Command) *statev1.CommandResult {
 	result := &statev1.CommandResult{Operator: c.GetOperator(), Number: c.GetNumber(), Digest: c.GetDigest()}
 	known, refusal := s.knownResult(c)
@@ -50,18 +51,19 @@
 		return known
 	}
 	if refusal != nil {
-		return s.finish(result, "", refusal)
+		return s.completeResult(result, "", refusal)
 	}
 	if c.GetExpectRevision() != 0 && c.GetExpectRevision() != s.Revision {
 		refusal = refuse(RefusalWrongRevision, "the configuration is at revision %d, not %d: read it again and decide anew", s.Revision, c.GetExpectRevision())
-		return s.keep(s.finish(result, "", refusal))
+		return s.storeResult(s.completeResult(result, "", refusal))
 	}
-	message, refusal := s.run(c)
-	return s.keep(s.finish(result, message, refusal))
+	message, refusal := s.execute(c)
+	return s.storeResult(s.completeResult(result, message, refusal))
 }
 
-// knownResult returns the kept answer to a resent command, or the refusal of
-// one that takes the number of another.
+// knownResult returns the stored result of a command that was sent again, or the
+// refusal of a command whose number was used for another one or is too old. Both
+// are nil for a new command.
 func (s *State) knownResult(c *statev1.Command) (*statev1.CommandResult, *refused) {
 	results := s.Results[c.GetOperator()]
 	for _, r := range results {
@@ -79,7 +81,7 @@
 	return nil, nil
 }
 
-func (s *State) finish(r *statev1.CommandResult, message string, refusal *refused) *statev1.CommandResult {
+func (s *State) completeResult(r *statev1.CommandResult, message string, refusal *refused) *statev1.CommandResult {
 	r.Message = message
 	if refusal != nil {
 		r.Refusal, r.Message = string(refusal.kind), refusal.message
@@ -88,9 +90,10 @@
 	return r
 }
 
-// keep stores an answer in the order of numbers and drops the lowest beyond
-// the limit, so that a number below all kept ones is recognised as too old.
-func (s *State) keep(r *statev1.CommandResult) *statev1.CommandResult {
+// storeResult inserts a result in the order of numbers and drops the lowest number
+// beyond MaxResults, so that a number below all stored ones is recognised as too
+// old.
+func (s *State) storeResult(r *statev1.CommandResult) *statev1.CommandResult {
 	results := s.Results[r.GetOperator()]
 	at := len(results)
 	for at > 0 && results[at-1].GetNumber() > r.GetNumber() {
@@ -106,7 +109,7 @@
 	return r
 }
 
-func (s *State) run(c *statev1.Command) (string, *refused) {
+func (s *State) execute(c *statev1.Command) (string, *refused) {
 	switch a := c.GetAction().(type) {
 	case *statev1.Command_CreateOrganisation:
 		return s.createOrganisation(a.CreateOrganisation)
@@ -135,7 +138,7 @@
 
 func (s *State) createOrganisation(a *statev1.CreateOrganisation) (string, *refused) {
 	if !simpleName.MatchString(a.GetName()) {
-		return "", badName("organisation", a.GetName(), "lower-case letters, digits, dots and dashes")
+		return "", invalidName("organisation", a.GetName(), "lower-case letters, digits, dots and dashes")
 	}
 	if s.Organisations[a.GetName()] != nil {
 		return "", refuse(RefusalExists, "organisation %s exists: use set share to change it", a.GetName())
@@ -171,7 +174,7 @@
 		return "", refuse(RefusalExists, "budget %s exists: use grant to add to it", a.GetName())
 	}
 	if a.GetTokens() > MaxTokens {
-		return "", tooMany(a.GetTokens())
+		return "", aboveLimit(a.GetTokens())
 	}
 	s.Budgets[a.GetName()] = newBudget(a.GetName(), a.GetTokens())
 	return fmt.Sprintf("budget %s created with %d tokens", a.GetName(), a.GetTokens()), nil
@@ -183,7 +186,7 @@
 		return "", notFound("budget", a.GetName())
 	}
 	if a.GetTokens() > MaxTokens || b.Granted+a.GetTokens() > MaxTokens {
-		return "", tooMany(a.GetTokens())
+		return "", aboveLimit(a.GetTokens())
 	}
 	b.Granted += a.GetTokens()
 	return fmt.Sprintf("budget %s has %d tokens granted", b.Name, b.Granted), nil
@@ -246,7 +249,7 @@
 
 func (s *State) putDrain(d *statev1.Drain) (string, *refused) {
 	if !simpleName.MatchString(d.GetName()) {
-		return "", badName("box or target", d.GetName(), "lower-case letters, digits, dots and dashes")
+		return "", invalidName("box or target", d.GetName(), "lower-case letters, digits, dots and dashes")
 	}
 	if d.GetEnded() && s.Drains[DrainKey(d.GetKind(), d.GetName())] == nil {
 		return "", notFound("drain of", d.GetName())
@@ -266,13 +269,14 @@
 	return fmt.Sprintf("%s is %s", r.GetName(), r.GetValue()), nil
 }
 
-// OrderKey is the key of an order's row.
+// OrderKey returns the key of an order in State.Orders.
 func OrderKey(o *statev1.Order) string { return o.GetTarget() + "/" + o.GetKind().String() }
 
-// putOrder replaces the former order of the same kind under a higher token.
+// putOrder replaces the previous order of the same kind to the target, under a
+// higher fencing token.
 func (s *State) putOrder(o *statev1.Order) (string, *refused) {
 	if !simpleName.MatchString(o.GetTarget()) {
-		return "", badName("target", o.GetTarget(), "lower-case letters, digits, dots and dashes")
+		return "", invalidName("target", o.GetTarget(), "lower-case letters, digits, dots and dashes")
 	}
 	s.LastToken++
 	row := &statev1.Order{Target: o.GetTarget(), Kind: o.GetKind(), Value: o.GetValue(), Token: s.LastToken}
@@ -282,7 +286,7 @@
 
 func (s *State) checkPath(what, name string) *refused {
 	if !pathName.MatchString(name) {
-		return badName(what, name, "organisation/name in lower-case letters, digits, dots and dashes")
+		return invalidName(what, name, "organisation/name in lower-case letters, digits, dots and dashes")
 	}
 	if s.Organisations[OrganisationOf(name)] == nil {
 		return notFound("organisation", OrganisationOf(name))
@@ -290,13 +294,13 @@
 	return nil
 }
 
-// OrganisationOf returns the organisation of a group or budget.
+// OrganisationOf returns the organisation in the name of a group or budget.
 func OrganisationOf(name string) string {
 	organisation, _, _ := strings.Cut(name, "/")
 	return organisation
 }
 
-func badName(what, name, form string) *refused {
+func invalidName(what, name, form string) *refused {
 	return refuse(RefusalInvalid, "%q is no name for a %s: use %s", name, what, form)
 }
 
@@ -304,6 +308,6 @@
 	return refuse(RefusalNotFound, "there is no %s %s: create it first or check the name", what, name)
 }
 
-func tooMany(tokens uint64) *refused {
+func aboveLimit(tokens uint64) *refused {
 	return refuse(RefusalOverflow, "%d tokens are over the limit of %d for one budget: use a smaller amount", tokens, MaxTokens)
 }
--- a/models/state/lease.go
+++ b/models/state/lease.go
@@ -7,22 +7,22 @@
 	statev1 "havenwinch.dev/havenwinch/gen/havenwinch/state/v1"
 )
 
-// LeaseAnswer is the answer to a LeaseSync: the cumulative grants in the order
-// of the changes.
+// LeaseAnswer is the result of applying a LeaseSync. Allotted holds the holder's
+// cumulative allotments in the order of the changes.
 type LeaseAnswer struct {
 	Allotted []uint64
 }
 
-// lease takes a holder's report in and grants what is asked for as far as it
-// is there.
-func (r *Routing) lease(m *statev1.LeaseSync) LeaseAnswer {
+// applyLeaseSync applies a holder's report and grants the requested tokens as far
+// as they are unallotted.
+func (r *Routing) applyLeaseSync(m *statev1.LeaseSync) LeaseAnswer {
 	answer := LeaseAnswer{Allotted: make([]uint64, len(m.GetChanges()))}
 	for i, c := range m.GetChanges() {
 		b := r.Prepaid[c.GetOrganisation()]
 		if b == nil {
 			continue
 		}
-		b.giveBack(m.GetHolder(), c)
+		b.applyLeaseChange(m.GetHolder(), c)
 		b.grant(m.GetHolder(), c.GetGrant())
 		row := b.Of(m.GetHolder())
 		answer.Allotted[i] = row.GetAllotted()
@@ -36,22 +36,23 @@
 	}
 	stamp := m.GetStamp()
 	if stamp == nil {
-		// The moment before an earlier sample lies before this one, too.
+		// A time before an earlier sample is also before this one.
 		stamp = r.Holders[m.GetHolder()].GetStamp()
 	}
 	r.Holders[m.GetHolder()] = &statev1.LeaseHolder{Holder: m.GetHolder(), Box: m.GetBox(), Stamp: stamp}
 	return answer
 }
 
-// FreeAtReport is what a holder had neither returned nor spent nor reserved at
-// its last report.
+// FreeAtReport returns the number of allotted tokens that a holder had neither
+// returned nor spent nor reserved at its last report.
 func FreeAtReport(a *statev1.Allotment) uint64 {
 	used := a.GetReturned() + a.GetSpent() + a.GetReserved()
 	return a.GetAllotted() - min(a.GetAllotted(), used)
 }
 
-// giveBack takes a holder's cumulative counters in; older ones change nothing.
-func (b *Budget) giveBack(holder string, c *statev1.LeaseChange) {
+// applyLeaseChange applies a holder's reported counters. Values of returned and
+// spent lower than the known ones come from an older report and are ignored.
+func (b *Budget) applyLeaseChange(holder string, c *statev1.LeaseChange) {
 	if b.Of(holder) == nil {
 		return
 	}
@@ -64,9 +65,9 @@
 	a.Reserved = c.GetReserved()
 }
 
-// reclaim takes back what a holder that has ended can't have used, and forgets
-// the holder.
-func (r *Routing) reclaim(m *statev1.ReclaimLease) {
+// applyReclaim returns the tokens that a holder that has ended can't have used to
+// the budgets, and removes the holder.
+func (r *Routing) applyReclaim(m *statev1.ReclaimLease) {
 	if r.Holders[m.GetHolder()] == nil {
 		return
 	}
@@ -77,13 +78,14 @@
 			continue
 		}
 		a := b.replace(m.GetHolder())
-		back := min(c.GetReturned(), FreeAtReport(a))
-		a.Returned += back
-		b.held -= back
+		reclaimed := min(c.GetReturned(), FreeAtReport(a))
+		a.Returned += reclaimed
+		b.held -= reclaimed
 	}
 }
 
-// Predecessors returns the holders of a box other than the one named.
+// Predecessors returns the lease holders of a box other than the given one: those
+// of its earlier processes.
 func (r *Routing) Predecessors(box, holder string) []*statev1.LeaseHolder {
 	var list []*statev1.LeaseHolder
 	for name, h := range r.Holders {
--- a/models/state/rollout.go
+++ b/models/state/rollout.go
@@ -13,7 +13,7 @@
 	statev1 "havenwinch.dev/havenwinch/gen/havenwinch/state/v1"
 )
 
-// Names of the values that operators can roll out.
+// Names of the settings that operators can change with a rollout command.
 const (
 	RolloutTargetSlots      = "target-slots"
 	RolloutInteractiveSlots = "interactive-slots"
@@ -24,13 +24,13 @@
 	RolloutMaxTokens        = "max-tokens"
 )
 
-// Range is what a rolled-out value may be, and what it is by default.
+// Range is the permitted range of a setting, both ends included, and its default.
 type Range struct {
 	Low, High, Default int64
 	Meaning            string
 }
 
-// Rollouts lists all values that can be rolled out.
+// Rollouts holds all settings that can be rolled out, by name.
 var Rollouts = map[string]Range{
 	RolloutTargetSlots:      {Low: 1, High: 4096, Default: 16, Meaning: "requests in progress at one model engine from one box"},
 	RolloutInteractiveSlots: {Low: 0, High: 4096, Default: 2, Meaning: "of these, kept free for interactive requests"},
@@ -41,7 +41,8 @@
 	RolloutMaxTokens:        {Low: 1, High: 1_000_000, Default: 32_768, Meaning: "highest limit of generated tokens in one request"},
 }
 
-// CheckRollout tells what is wrong with a value.
+// CheckRollout returns an error if a rollout names an unknown setting or its value
+// is out of range.
 func CheckRollout(r *statev1.Rollout) error {
 	limits, ok := Rollouts[r.GetName()]
 	if !ok {
@@ -63,7 +64,7 @@
 	return names
 }
 
-// Value returns the value in force.
+// Value returns the current value of a setting: the rolled-out one or its default.
 func (s *State) Value(name string) int64 {
 	if r := s.Rollouts[name]; r != nil {
 		if n, err := strconv.ParseInt(r.GetValue(), 10, 64); err == nil {
--- a/models/state/routing.go
+++ b/models/state/routing.go
@@ -11,54 +11,57 @@
 	"havenwinch.dev/havenwinch/modules/pack"
 )
 
-// maxGoneTargets is how many rows of targets that have ended are kept, for
-// followers to catch up by.
+// maxGoneTargets is the number of rows of ended targets that are kept, so that
+// followers can catch up by changes.
 const maxGoneTargets = 512
 
-// uncountedShare is the part of a prepaid amount, as one in so many, that is
-// not leased out: targets may hand out tokens that nobody could count, when an
-// answer is lost on its way.
-const uncountedShare = 128
+// unleasedDivisor is the divisor of a prepaid amount for the part that is not
+// leased out. It covers tokens that targets generate without anyone counting
+// them, which happens when an answer is lost in transit.
+const unleasedDivisor = 128
 
-// Routing is the part of the state that calls passed through need: the routing
-// table, the registered targets, and the prepaid budgets leased to entry boxes.
+// Routing is the part of the state for calls that are proxied to targets: the
+// routing table, the registered targets, and the prepaid budgets leased to entry
+// boxes.
 type Routing struct {
-	// Table is the table in force, nil before the first.
+	// Table is the current routing table, or nil before the first.
 	Table *statev1.RoutingTable
-	// Targets holds the registered targets by id, those gone included.
+	// Targets holds the registered targets by id, including up to maxGoneTargets
+	// ended ones.
 	Targets map[string]*statev1.RegisteredTarget
-	// TargetRevision rises with every change of a target's row.
+	// TargetRevision increases with every change of a target's row.
 	TargetRevision uint64
-	// OldestRevision is the revision from which on every change is still held.
+	// OldestRevision is the revision after which all changes are still held.
 	OldestRevision uint64
-	// Prepaid holds the budgets by organisation.
+	// Prepaid holds the prepaid budgets by organisation.
 	Prepaid map[string]*Budget
-	// Holders holds the processes that hold leases, by name.
+	// Holders holds the processes with leases by name.
 	Holders map[string]*statev1.LeaseHolder
 
-	// byAddress names the target that had an address last, gone or not.
-	byAddress map[string]string
-	gone      []string
-	// rivals are starts that seem to be earlier than the known ones, the oldest
-	// first.
+	// idByAddress maps an address to the id of the last target there, ended or not.
+	idByAddress map[string]string
+	// goneIDs holds the ids of ended targets, in the order in which they ended.
+	goneIDs []string
+	// rivals holds starts of targets that call although they seem to be earlier
+	// than the known ones, the oldest first.
 	rivals []*statev1.RivalTarget
 }
 
 func newRouting() *Routing {
 	return &Routing{
-		Targets:   map[string]*statev1.RegisteredTarget{},
-		Prepaid:   map[string]*Budget{},
-		Holders:   map[string]*statev1.LeaseHolder{},
-		byAddress: map[string]string{},
+		Targets:     map[string]*statev1.RegisteredTarget{},
+		Prepaid:     map[string]*Budget{},
+		Holders:     map[string]*statev1.LeaseHolder{},
+		idByAddress: map[string]string{},
 	}
 }
 
-// Version returns the version of the table in force, zero before the first.
+// Version returns the version of the current routing table, zero before the first.
 func (r *Routing) Version() uint64 { return r.Table.GetVersion() }
 
-// put puts a table in force that may be packed. It returns why it could not be
-// read, nil when it was.
-func (r *Routing) put(m *statev1.PutRouting) any {
+// applyRouting applies a routing table, which may be packed. It returns an error
+// if unpacking fails, else nil.
+func (r *Routing) applyRouting(m *statev1.PutRouting) any {
 	t := m.GetTable()
 	if len(m.GetPacked()) > 0 {
 		t = &statev1.RoutingTable{}
@@ -70,7 +73,8 @@
 	return nil
 }
 
-// putTable puts a table in force when its version is higher.
+// putTable replaces the routing table by one with a higher version, and updates
+// the grants of the prepaid budgets. Other versions are ignored.
 func (r *Routing) putTable(t *statev1.RoutingTable) {
 	if t.GetVersion() <= r.Version() {
 		return
@@ -85,40 +89,41 @@
 			b = newBudget(p.GetOrganisation(), 0)
 			r.Prepaid[p.GetOrganisation()] = b
 		}
-		b.Granted = p.GetPrepaid() - p.GetPrepaid()/uncountedShare
+		b.Granted = p.GetPrepaid() - p.GetPrepaid()/unleasedDivisor
 	}
 }
 
-func (r *Routing) store(t *statev1.RegisteredTarget) {
+func (r *Routing) storeTarget(t *statev1.RegisteredTarget) {
 	r.TargetRevision++
 	t.Revision = r.TargetRevision
 	if r.Targets[t.GetId()].GetState() == statev1.RegisteredTarget_STATE_GONE {
-		at := slices.Index(r.gone, t.GetId())
-		r.gone = slices.Delete(r.gone, at, at+1)
+		at := slices.Index(r.goneIDs, t.GetId())
+		r.goneIDs = slices.Delete(r.goneIDs, at, at+1)
 	}
 	r.Targets[t.GetId()] = t
 	if t.GetState() != statev1.RegisteredTarget_STATE_GONE {
 		return
 	}
-	r.gone = append(r.gone, t.GetId())
-	if len(r.gone) > maxGoneTargets {
-		r.forgetOldest()
+	r.goneIDs = append(r.goneIDs, t.GetId())
+	if len(r.goneIDs) > maxGoneTargets {
+		r.removeOldestGone()
 	}
 }
 
-// forgetOldest forgets the target that has been gone for longest.
-func (r *Routing) forgetOldest() {
-	oldest := r.Targets[r.gone[0]]
+// removeOldestGone removes the row of the target that ended first.
+func (r *Routing) removeOldestGone() {
+	oldest := r.Targets[r.goneIDs[0]]
 	r.OldestRevision = oldest.GetRevision()
-	if r.byAddress[oldest.GetAddress()] == oldest.GetId() {
-		delete(r.byAddress, oldest.GetAddress())
+	if r.idByAddress[oldest.GetAddress()] == oldest.GetId() {
+		delete(r.idByAddress, oldest.GetAddress())
 	}
 	delete(r.Targets, oldest.GetId())
-	r.gone = slices.Delete(r.gone, 0, 1)
+	r.goneIDs = slices.Delete(r.goneIDs, 0, 1)
 }
 
-// TargetsAfter returns the rows that changed after a revision; all is true
-// when they are the whole table, since some of the changes are no longer held.
+// TargetsAfter returns the rows that changed after a revision, in the order of
+// their changes. If some of those changes are no longer held, it returns all
+// targets that have not ended, and all is true.
 func (r *Routing) TargetsAfter(revision uint64) (rows []*statev1.RegisteredTarget, all bool) {
 	all = revision < r.OldestRevision || revision > r.TargetRevision
 	for _, t := range r.Targets {
@@ -127,11 +132,11 @@
 			rows = append(rows, t)
 		}
 	}
-	slices.SortFunc(rows, byRevision)
+	slices.SortFunc(rows, compareRevisions)
 	return rows, all
 }
 
-func byRevision(a, b *statev1.RegisteredTarget) int {
+func compareRevisions(a, b *statev1.RegisteredTarget) int {
 	if a.GetRevision() != b.GetRevision() {
 		if a.GetRevision() < b.GetRevision() {
 			return -1
@@ -148,7 +153,7 @@
 	for _, t := range r.Targets {
 		s.Registered = append(s.Registered, t)
 	}
-	slices.SortFunc(s.Registered, byRevision)
+	slices.SortFunc(s.Registered, compareRevisions)
 	s.Rivals = slices.Clone(r.rivals)
 	s.Holders = Sorted(r.Holders)
 	s.Prepaid = nil
@@ -157,7 +162,7 @@
 	}
 }
 
-func routingOf(s *statev1.Snapshot) *Routing {
+func routingFromSnapshot(s *statev1.Snapshot) *Routing {
 	r := newRouting()
 	r.Table = s.GetRouting()
 	r.TargetRevision = s.GetTargetRevision()
@@ -166,17 +171,17 @@
 	for _, t := range s.GetRegistered() {
 		r.Targets[t.GetId()] = t
 		if t.GetState() == statev1.RegisteredTarget_STATE_GONE {
-			r.gone = append(r.gone, t.GetId())
+			r.goneIDs = append(r.goneIDs, t.GetId())
 		}
-		// Rows come in the order of their changes, and who takes an address changes
-		// after the one that had it.
-		r.byAddress[t.GetAddress()] = t.GetId()
+		// Rows are in the order of their changes, and a target that takes over an
+		// address changes after the one that had it before.
+		r.idByAddress[t.GetAddress()] = t.GetId()
 	}
 	for _, h := range s.GetHolders() {
 		r.Holders[h.GetHolder()] = h
 	}
 	for _, row := range s.GetPrepaid() {
-		r.Prepaid[row.GetName()] = budgetOf(row)
+		r.Prepaid[row.GetName()] = budgetFromRow(row)
 	}
 	return r
 }
--- a/models/state/routing_test.go
+++ b/models/state/routing_test.go
@@ -43,13 +43,13 @@
 		calls []*statev1.RegisteredTarget
 		want  map[string]statev1.RegisteredTarget_State
 	}{
-		"ready":                     {calls: []*statev1.RegisteredTarget{registered("a", "x", ready, 1)}, want: map[string]statev1.RegisteredTarget_State{"a": ready}},
-		"draining":                  {calls: []*statev1.RegisteredTarget{registered("a", "x", ready, 1), registered("a", "x", draining, 2)}, want: map[string]statev1.RegisteredTarget_State{"a": draining}},
-		"a late ready":              {calls: []*statev1.RegisteredTarget{registered("a", "x", draining, 2), registered("a", "x", ready, 1), registered("a", "x", ready, 3)}, want: map[string]statev1.RegisteredTarget_State{"a": draining}},
-		"ready after it left":       {calls: []*statev1.RegisteredTarget{registered("a", "x", ready, 1), registered("a", "", gone, 0), registered("a", "x", ready, 2)}, want: map[string]statev1.RegisteredTarget_State{"a": gone}},
-		"address used again":        {calls: []*statev1.RegisteredTarget{registered("a", "x", ready, 1), registered("b", "x", ready, 1)}, want: map[string]statev1.RegisteredTarget_State{"a": gone, "b": ready}},
-		"the former one comes late": {calls: []*statev1.RegisteredTarget{registered("a", "x", ready, 1), registered("b", "x", ready, 1), registered("a", "x", ready, 9)}, want: map[string]statev1.RegisteredTarget_State{"a": gone, "b": ready}},
-		"leaves without a word":     {calls: []*statev1.RegisteredTarget{registered("a", "", gone, 0)}, want: map[string]statev1.RegisteredTarget_State{"a": gone}},
+		"ready":                        {calls: []*statev1.RegisteredTarget{registered("a", "x", ready, 1)}, want: map[string]statev1.RegisteredTarget_State{"a": ready}},
+		"draining":                     {calls: []*statev1.RegisteredTarget{registered("a", "x", ready, 1), registered("a", "x", draining, 2)}, want: map[string]statev1.RegisteredTarget_State{"a": draining}},
+		"a delayed ready":              {calls: []*statev1.RegisteredTarget{registered("a", "x", draining, 2), registered("a", "x", ready, 1), registered("a", "x", ready, 3)}, want: map[string]statev1.RegisteredTarget_State{"a": draining}},
+		"ready after it left":          {calls: []*statev1.RegisteredTarget{registered("a", "x", ready, 1), registered("a", "", gone, 0), registered("a", "x", ready, 2)}, want: map[string]statev1.RegisteredTarget_State{"a": gone}},
+		"address used again":           {calls: []*statev1.RegisteredTarget{registered("a", "x", ready, 1), registered("b", "x", ready, 1)}, want: map[string]statev1.RegisteredTarget_State{"a": gone, "b": ready}},
+		"the former target calls late": {calls: []*statev1.RegisteredTarget{registered("a", "x", ready, 1), registered("b", "x", ready, 1), registered("a", "x", ready, 9)}, want: map[string]statev1.RegisteredTarget_State{"a": gone, "b": ready}},
+		"leaves without registration":  {calls: []*statev1.RegisteredTarget{registered("a", "", gone, 0)}, want: map[string]statev1.RegisteredTarget_State{"a": gone}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -77,7 +77,7 @@
 	if len(rows) != 1 || rows[0].GetId() != "t2" || all {
 		t.Fatalf("got %v, all %v", rows, all)
 	}
-	// More targets end than are remembered: who is far behind gets everything.
+	// More targets end than are kept, so a follower far behind gets all rows.
 	for i := range maxGoneTargets + 10 {
 		id := fmt.Sprint("g", i)
 		s.Apply(put(registered(id, "y", statev1.RegisteredTarget_STATE_READY, 1)))
@@ -107,9 +107,10 @@
 	}
 	got = s.Apply(lease("h2", &statev1.LeaseChange{Grant: 100000})).(LeaseAnswer)
 	if got.Allotted[0] != usable-100000 {
-		t.Fatalf("allotted %v beyond what is left", got.Allotted)
+		t.Fatalf("allotted %v, more than was unallotted", got.Allotted)
 	}
-	// An old report does not take a return back, a false one returns nothing.
+	// An old report must not undo a return, and a report that returns more than was
+	// allotted must return nothing.
 	s.Apply(lease("h1", &statev1.LeaseChange{Returned: 60000, Spent: 10000}))
 	s.Apply(lease("h1", &statev1.LeaseChange{Returned: 50000, Spent: 9000}))
 	s.Apply(lease("h1", &statev1.LeaseChange{Returned: 1 << 40}))
@@ -117,10 +118,10 @@
 	if b.Unallotted() != 60000 || b.Of("h1").GetSpent() != 10000 {
 		t.Fatalf("unallotted %d, spent %d", b.Unallotted(), b.Of("h1").GetSpent())
 	}
-	// A budget that is lowered below what is leased grants nothing more.
+	// A budget that is reduced below the leased amount must grant nothing more.
 	s.Apply(table(2, 50000))
 	if b.Unallotted() != 0 {
-		t.Fatalf("unallotted %d of a lowered budget", b.Unallotted())
+		t.Fatalf("unallotted %d of a reduced budget", b.Unallotted())
 	}
 	s.Apply(table(3, 256000))
 	if b.Unallotted() != 254000-67000 {
@@ -143,10 +144,10 @@
 	s.Apply(reclaim)
 	s.Apply(reclaim)
 	if got := s.Routing.Prepaid["o"].Unallotted(); got != 27000+65000 {
-		t.Fatalf("unallotted %d after a reclaim that came twice", got)
+		t.Fatalf("unallotted %d after a repeated reclaim", got)
 	}
 	if len(s.Routing.Predecessors("box", "h2")) != 0 {
-		t.Fatal("the holder is still there")
+		t.Fatal("the reclaimed holder is not removed")
 	}
 }
 
@@ -164,7 +165,7 @@
 	e.GetLeaseSync().Leaving = true
 	s.Apply(e)
 	if len(s.Routing.Holders) != 0 {
-		t.Fatal("a holder that left is still there")
+		t.Fatal("a holder that left is not removed")
 	}
 }
 
@@ -197,6 +198,6 @@
 	}
 	back.Apply(put(registered("c", "x", statev1.RegisteredTarget_STATE_READY, 1)))
 	if back.Routing.Targets["a"].GetState() != statev1.RegisteredTarget_STATE_GONE {
-		t.Fatal("the restored state does not know who has an address")
+		t.Fatal("the restored state does not know which target has an address")
 	}
 }
--- a/models/state/starts.go
+++ b/models/state/starts.go
@@ -9,72 +9,75 @@
 	statev1 "havenwinch.dev/havenwinch/gen/havenwinch/state/v1"
 )
 
-// A target may start again, under its id or another one, at its address or another
-// one. Its calls come late and out of order: one of a start that has ended may
-// arrive when a later start is known. The later start is the one that says that it
-// was born later. Times of day jump back, so a start that seems to be the earlier
-// one and goes on calling is believed in the end.
+// A target may restart with the same id or another one, and at the same address or
+// another one. Its calls may arrive late and out of order, so a call of a start that
+// has ended may arrive after a later start is known. Starts are ordered by the birth
+// times that targets report. As a target's time of day may jump back, a start that
+// seems to be earlier is accepted once it has kept calling for long enough.
 
 const (
-	// rivalTime is how long, in milliseconds, and rivalCalls how often a start must
-	// have called that seems to be earlier than the known one. Calls that a cut has
-	// held back arrive within a second of its end; a target calls every 1.2 s.
-	rivalTime  = 5000
-	rivalCalls = 3
-	// maxRivals bounds the starts that are watched.
+	// rivalMinMillis is the time in milliseconds for which, and rivalMinCalls the
+	// number of times that, a start that seems to be earlier than the known one must
+	// have called to be accepted. Calls delayed by a partition arrive within a second
+	// of its end; a target calls every 1.2 s.
+	rivalMinMillis = 5000
+	rivalMinCalls  = 3
+	// maxRivals is the maximum number of such starts that are tracked.
 	maxRivals = 64
 )
 
-// putTarget takes a target's call in that reached the leader at a time of day. A
-// call of an earlier start changes nothing, an older call of the same start
-// neither, and a start that has said that it leaves does not come back.
+// putTarget applies a target's call, which reached the leader at the given time of
+// day in milliseconds. Calls of an earlier start and older calls of the same start
+// are ignored. A start that has announced its end can't become ready again.
 func (r *Routing) putTarget(t *statev1.RegisteredTarget, at int64) {
 	gone := t.GetState() == statev1.RegisteredTarget_STATE_GONE
 	old := r.Targets[t.GetId()]
 	if gone && t.GetBorn() == 0 {
-		// It does not say which start has ended: the one that is known.
+		// The call does not name the start that has ended, so it is the known one.
 		t.Born = old.GetBorn()
 	}
-	if r.earlier(t) && (gone || !r.outlasts(t, at)) {
+	if r.isEarlierStart(t) && (gone || !r.replacesKnownStart(t, at)) {
 		return
 	}
-	if sameStart(old, t) && !newer(old, t) {
+	if isSameStart(old, t) && !isNewerCall(old, t) {
 		return
 	}
 	if old != nil && t.GetAddress() == "" {
 		t.Address, t.Service, t.DataCentre, t.Slots = old.GetAddress(), old.GetService(), old.GetDataCentre(), old.GetSlots()
 	}
 	if !gone {
-		r.takeAddress(t)
+		r.assignAddress(t)
 	}
-	r.store(t)
+	r.storeTarget(t)
 }
 
-func sameStart(a, b *statev1.RegisteredTarget) bool { return a != nil && a.GetBorn() == b.GetBorn() }
+func isSameStart(a, b *statev1.RegisteredTarget) bool { return a != nil && a.GetBorn() == b.GetBorn() }
 
-// newer tells whether a call of the same start says more than the known one.
-func newer(old, t *statev1.RegisteredTarget) bool {
+// isNewerCall reports whether t is a later call of the start that old is known
+// from: it has a later state, or the same state and a higher sequence number.
+func isNewerCall(old, t *statev1.RegisteredTarget) bool {
 	if t.GetState() != old.GetState() {
 		return t.GetState() > old.GetState()
 	}
 	return t.GetSequence() > old.GetSequence()
 }
 
-// earlier tells whether a call is of an earlier start than the one that has its id
-// or its address. Of two that don't both say when they were born, those under one
-// id are ordered by whether they do; at one address the one that calls last is the
-// later one.
-func (r *Routing) earlier(t *statev1.RegisteredTarget) bool {
+// isEarlierStart reports whether a call comes from an earlier start than the known
+// one with its id or at its address. If not both starts report a birth time, the one
+// that does is the later one under the same id, and the one that called last is the
+// later one at the same address.
+func (r *Routing) isEarlierStart(t *statev1.RegisteredTarget) bool {
 	if old := r.Targets[t.GetId()]; old != nil && t.GetBorn() < old.GetBorn() {
 		return true
 	}
-	owner := r.Targets[r.byAddress[t.GetAddress()]]
+	owner := r.Targets[r.idByAddress[t.GetAddress()]]
 	return owner != nil && t.GetBorn() > 0 && t.GetBorn() < owner.GetBorn()
 }
 
-// outlasts tells whether a start that seems to be earlier has gone on calling for
-// so long that it must be the one that runs.
-func (r *Routing) outlasts(t *statev1.RegisteredTarget, at int64) bool {
+// replacesKnownStart reports whether a start that seems to be earlier than the known
+// one has kept calling for so long that it must be the running one. It records the
+// call.
+func (r *Routing) replacesKnownStart(t *statev1.RegisteredTarget, at int64) bool {
 	i := slices.IndexFunc(r.rivals, func(v *statev1.RivalTarget) bool { return v.GetId() == t.GetId() && v.GetBorn() == t.GetBorn() })
 	if i < 0 {
 		r.rivals = append(r.rivals, &statev1.RivalTarget{Id: t.GetId(), Born: t.GetBorn(), First: at, Calls: 1, Sequence: t.GetSequence()})
@@ -85,28 +88,28 @@
 	if t.GetSequence() <= known.GetSequence() {
 		return false
 	}
-	if at-known.GetFirst() >= rivalTime && known.GetCalls()+1 >= rivalCalls {
+	if at-known.GetFirst() >= rivalMinMillis && known.GetCalls()+1 >= rivalMinCalls {
 		r.rivals = slices.Delete(slices.Clone(r.rivals), i, i+1)
 		return true
 	}
-	// Rows are replaced and never changed, since a snapshot may hold on to them.
+	// Rows are replaced and never modified, since a snapshot may refer to them.
 	r.rivals = slices.Clone(r.rivals)
 	r.rivals[i] = &statev1.RivalTarget{Id: known.GetId(), Born: known.GetBorn(), First: known.GetFirst(), Calls: known.GetCalls() + 1, Sequence: t.GetSequence()}
 	return false
 }
 
-// takeAddress ends the target that had the address before, and frees the one that
-// this target had.
-func (r *Routing) takeAddress(t *statev1.RegisteredTarget) {
-	if old := r.Targets[t.GetId()]; old != nil && old.GetAddress() != t.GetAddress() && r.byAddress[old.GetAddress()] == t.GetId() {
-		delete(r.byAddress, old.GetAddress())
+// assignAddress assigns a target its address: it ends the target that had the
+// address before, and releases the former address of this one.
+func (r *Routing) assignAddress(t *statev1.RegisteredTarget) {
+	if old := r.Targets[t.GetId()]; old != nil && old.GetAddress() != t.GetAddress() && r.idByAddress[old.GetAddress()] == t.GetId() {
+		delete(r.idByAddress, old.GetAddress())
 	}
-	former := r.Targets[r.byAddress[t.GetAddress()]]
+	former := r.Targets[r.idByAddress[t.GetAddress()]]
 	if former != nil && former.GetId() != t.GetId() && former.GetState() != statev1.RegisteredTarget_STATE_GONE {
-		r.store(&statev1.RegisteredTarget{
+		r.storeTarget(&statev1.RegisteredTarget{
 			Id: former.GetId(), Service: former.GetService(), Address: former.GetAddress(), DataCentre: former.GetDataCentre(),
 			Slots: former.GetSlots(), Sequence: former.GetSequence(), Born: former.GetBorn(), State: statev1.RegisteredTarget_STATE_GONE,
 		})
 	}
-	r.byAddress[t.GetAddress()] = t.GetId()
+	r.idByAddress[t.GetAddress()] = t.GetId()
 }
--- a/models/state/starts_test.go
+++ b/models/state/starts_test.go
@@ -25,9 +25,10 @@
 	return t
 }
 
-// A target that starts again under its id was ignored until its calls had as high a
-// number as those of the former start, and for good once that had left. A call of a
-// former start that a cut had held back took the address from the later one.
+// Guards against two failures. A target that restarted with its id was ignored until
+// its calls had as high a sequence number as those of the former start, and forever
+// once the former start had left. A call of a former start that a partition had
+// delayed took the address from the later start.
 func TestStartsOfTargets(t *testing.T) {
 	type call struct {
 		at  int64
@@ -35,7 +36,7 @@
 	}
 	cases := map[string]struct {
 		calls []call
-		// want holds the state and the birth of each id.
+		// want holds the state and the birth time of each id.
 		want map[string]string
 	}{
 		"starts again under its id": {
@@ -110,20 +111,21 @@
 	}
 }
 
-// place is an address at which targets start one after the other.
+// place is an address at which targets start one after another. live is the running
+// one, or nil.
 type place struct {
 	address string
 	starts  int
 	live    *statev1.RegisteredTarget
 }
 
-// startsModel plays targets whose calls reach control late, doubled and out of
-// order, or not at all.
+// startsModel simulates targets whose calls reach control late, twice, out of order
+// or not at all.
 type startsModel struct {
 	s      *State
 	places []*place
 	now    int64
-	// held are calls on their way.
+	// held holds the calls in transit.
 	held []*statev1.RegisteredTarget
 }
 
@@ -147,7 +149,7 @@
 	m.s.Apply(e)
 }
 
-// step makes one thing happen at a place.
+// step runs one random event at a place.
 func (m *startsModel) step(t *rapid.T, p *place) {
 	m.now += int64(rapid.IntRange(1, 1500).Draw(t, "ms"))
 	switch step := rapid.SampledFrom([]string{"beat", "beat", "beat", "crash", "leave", "heal", "restore"}).Draw(t, "step"); {
@@ -157,7 +159,8 @@
 		m.restore(t)
 	case step == "crash" || p.live == nil:
 		p.starts++
-		// Half of the places start again under one id.
+		// Targets at an address of odd length restart with the same id, the others
+		// with a new one.
 		id := p.address
 		if len(p.address)%2 == 0 {
 			id = fmt.Sprint(p.address, "-", p.starts)
@@ -177,7 +180,7 @@
 	}
 }
 
-// heal ends a cut: all calls that it held back arrive within a second.
+// heal ends a partition: all calls that it delayed arrive within a second.
 func (m *startsModel) heal(t *rapid.T) {
 	held := m.held
 	m.held = nil
@@ -187,7 +190,8 @@
 	}
 }
 
-// restore starts control anew from a snapshot, as a new leader may have done.
+// restore replaces the state by one decoded from its snapshot, as a new leader may
+// have done.
 func (m *startsModel) restore(t *rapid.T) {
 	data, err := m.s.Encode()
 	if err != nil {
@@ -198,18 +202,18 @@
 	}
 }
 
-// check looks whether any call changed a later start than its own.
+// check verifies that no call of an earlier start has replaced a later one.
 func (m *startsModel) check(t *rapid.T, seen map[string]int64) {
 	for id, row := range m.s.Routing.Targets {
 		if row.GetBorn() < seen[id] {
-			t.Fatalf("%s went back from the start at %d to that at %d", id, seen[id], row.GetBorn())
+			t.Fatalf("%s was reset from the start born at %d to that born at %d", id, seen[id], row.GetBorn())
 		}
 		seen[id] = row.GetBorn()
 	}
 	for _, p := range m.places {
-		owner := m.s.Routing.Targets[m.s.Routing.byAddress[p.address]]
+		owner := m.s.Routing.Targets[m.s.Routing.idByAddress[p.address]]
 		if owner != nil && owner.GetBorn() < seen["at "+p.address] {
-			t.Fatalf("address %s went back from the start at %d to that at %d", p.address, seen["at "+p.address], owner.GetBorn())
+			t.Fatalf("address %s was reset from the start born at %d to that born at %d", p.address, seen["at "+p.address], owner.GetBorn())
 		}
 		if owner != nil {
 			seen["at "+p.address] = owner.GetBorn()
@@ -217,10 +221,10 @@
 	}
 }
 
-// TestRandomStarts plays targets that start again under their id or another one,
-// while their calls come late, doubled, out of order or not at all and control is
-// restored from snapshots. No call of an earlier start changes a later one, and in
-// the end each target that runs is known, in its own state.
+// TestRandomStarts simulates targets that restart with the same id or another one,
+// while their calls arrive late, twice, out of order or not at all and control is
+// restored from snapshots. No call of an earlier start may change a later one, and
+// in the end each running target must be registered in its current state.
 func TestRandomStarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &startsModel{s: New(), now: 1000, places: []*place{{address: "x"}, {address: "yy"}, {address: "zzz"}}}
@@ -239,7 +243,7 @@
 			m.deliver(p.live)
 			row := m.s.Routing.Targets[p.live.GetId()]
 			if row.GetBorn() != p.live.GetBorn() || row.GetState() != p.live.GetState() || row.GetAddress() != p.address {
-				t.Fatalf("%s runs and is known as %v, want %v", p.live.GetId(), row, p.live)
+				t.Fatalf("running target %s is registered as %v, want %v", p.live.GetId(), row, p.live)
 			}
 		}
 	})
--- a/models/state/state.go
+++ b/models/state/state.go
@@ -1,10 +1,10 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package state is the deterministic state that the control boxes replicate:
-// organisations, groups, keys, budgets with their allotments, the
-// configuration's line of revisions, and the answers to operators' commands.
-// Applying the same entries in the same order gives the same state anywhere.
+// Package state implements the deterministic state machine that the control boxes
+// replicate: organisations, groups, keys, budgets with their allotments, the
+// revisions of the configuration, and the results of operators' commands. Applying
+// the same entries in the same order yields the same state on every box.
 package state
 
 import (
@@ -19,13 +19,14 @@
 )
 
 const (
-	// Version of the snapshot's form.
+	// Version is the version of the snapshot format.
 	Version = 1
-	// MaxChanges is how many changes are kept for watchers to catch up by.
+	// MaxChanges is the number of changes that are kept at least, so that followers
+	// can catch up.
 	MaxChanges = 4096
-	// MaxResults is how many answers are kept for each operator.
+	// MaxResults is the number of command results that are kept for each operator.
 	MaxResults = 1024
-	// MaxTokens bounds amounts, so that sums of them can't overflow.
+	// MaxTokens is the maximum of an amount, so that sums of amounts can't overflow.
 	MaxTokens = uint64(1) << 53
 )
 
@@ -39,20 +40,20 @@
 	Rollouts      map[string]*statev1.Rollout
 	Keepers       map[string]*statev1.KeeperMember
 	Budgets       map[string]*Budget
-	// Usages holds, by group, what each holder has counted.
+	// Usages holds, by group, the last reported usage of each holder.
 	Usages  map[string][]*statev1.GroupUsage
 	Results map[string][]*statev1.CommandResult
 	Changes []*statev1.Change
-	// Orders holds the newest order of each kind to a target.
+	// Orders holds the newest order of each kind to each target, by OrderKey.
 	Orders map[string]*statev1.Order
 	// LastToken is the fencing token of the newest order.
 	LastToken uint64
-	// Untold holds, by holder, the budgets it was granted tokens of without
-	// having asked and has not reported since.
+	// Untold holds, by holder, the budgets of which it was granted tokens without
+	// asking and which it has not reported since.
 	Untold map[string]map[string]bool
-	// Routing is what calls that are passed through need.
+	// Routing is the state for calls that are proxied to targets.
 	Routing *Routing
-	// Quarantine holds the calls under which targets ended.
+	// Quarantine holds the calls during which targets ended.
 	Quarantine *quarantine.Table
 }
 
@@ -75,9 +76,9 @@
 	}
 }
 
-// Apply takes one entry in and returns the answer to it: a
-// *statev1.CommandResult, a SyncAnswer, a RegisterAnswer, a LeaseAnswer, the
-// verdicts on calls, or an error when the entry could not be read.
+// Apply applies one log entry and returns its result: a *statev1.CommandResult, a
+// SyncAnswer, a RegisterAnswer, a LeaseAnswer, the verdicts on calls, nil, or an
+// error if the entry can't be read.
 func (s *State) Apply(e *statev1.Entry) any {
 	switch kind := e.GetKind().(type) {
 	case *statev1.Entry_Command:
@@ -85,18 +86,18 @@
 	case *statev1.Entry_Sync:
 		return s.applySync(kind.Sync)
 	case *statev1.Entry_RegisterKeeper:
-		return s.applyRegister(kind.RegisterKeeper)
+		return s.applyRegisterKeeper(kind.RegisterKeeper)
 	case *statev1.Entry_PutRouting:
-		return s.Routing.put(kind.PutRouting)
+		return s.Routing.applyRouting(kind.PutRouting)
 	case *statev1.Entry_PutTargets:
 		for _, t := range kind.PutTargets.GetTargets() {
 			s.Routing.putTarget(t, kind.PutTargets.GetAt())
 		}
 		return nil
 	case *statev1.Entry_LeaseSync:
-		return s.Routing.lease(kind.LeaseSync)
+		return s.Routing.applyLeaseSync(kind.LeaseSync)
 	case *statev1.Entry_ReclaimLease:
-		s.Routing.reclaim(kind.ReclaimLease)
+		s.Routing.applyReclaim(kind.ReclaimLease)
 		return nil
 	case *statev1.Entry_ReportCalls:
 		return s.Quarantine.Take(kind.ReportCalls)
@@ -105,7 +106,7 @@
 	}
 }
 
-// change puts a row of the configuration in force under the next revision.
+// change applies a change of the configuration as the next revision.
 func (s *State) change(c *statev1.Change) {
 	s.Revision++
 	c.Revision = s.Revision
@@ -116,8 +117,8 @@
 	}
 }
 
-// Put stores the row of a change; boxes that follow the configuration use it
-// on their own copy.
+// Put stores the row of a change and sets the revision. Boxes that follow the
+// configuration apply changes to their copy with it.
 func (s *State) Put(c *statev1.Change) {
 	switch row := c.GetRow().(type) {
 	case *statev1.Change_Organisation:
@@ -144,13 +145,13 @@
 	table[key] = row
 }
 
-// DrainKey is the key of a drain's row.
+// DrainKey returns the key of a drain in State.Drains.
 func DrainKey(kind statev1.Drain_Kind, name string) string {
 	return kind.String() + "/" + name
 }
 
-// ChangesAfter returns the changes after a revision, and false when they are
-// no longer all held.
+// ChangesAfter returns the changes after a revision, and false if some of them are
+// no longer held.
 func (s *State) ChangesAfter(revision uint64) ([]*statev1.Change, bool) {
 	if revision >= s.Revision {
 		return nil, true
@@ -162,14 +163,15 @@
 	return s.Changes[first:], true
 }
 
-// Configuration returns all rows that boxes need.
-func (s *State) Configuration() *statev1.Configuration { return s.freezeConfiguration()() }
+// Configuration returns all rows of the configuration, in the order of their keys.
+func (s *State) Configuration() *statev1.Configuration { return s.captureConfiguration()() }
 
-// freezeConfiguration holds on to all rows and returns what puts them in order.
-func (s *State) freezeConfiguration() func() *statev1.Configuration {
+// captureConfiguration captures all rows of the configuration and returns a function
+// that sorts them.
+func (s *State) captureConfiguration() func() *statev1.Configuration {
 	revision := s.Revision
-	organisations, groups, keys := freeze(s.Organisations), freeze(s.Groups), freeze(s.Keys)
-	drains, rollouts, keepers := freeze(s.Drains), freeze(s.Rollouts), freeze(s.Keepers)
+	organisations, groups, keys := sortedLater(s.Organisations), sortedLater(s.Groups), sortedLater(s.Keys)
+	drains, rollouts, keepers := sortedLater(s.Drains), sortedLater(s.Rollouts), sortedLater(s.Keepers)
 	return func() *statev1.Configuration {
 		return &statev1.Configuration{
 			Revision:      revision,
@@ -183,21 +185,22 @@
 	}
 }
 
-// freeze holds on to a table's rows and returns what puts them in the order of
-// their keys, which takes longer.
-func freeze[R any](table map[string]R) func() []R {
-	return freezeBy(table, func(row R) R { return row })
+// sortedLater captures a table's rows and returns a function that sorts them by key.
+// Sorting takes longer than capturing and can run while the table changes.
+func sortedLater[R any](table map[string]R) func() []R {
+	return sortedLaterBy(table, func(row R) R { return row })
 }
 
-// freezeBy is freeze for rows that change; hold returns what does not.
-func freezeBy[R, Q any](table map[string]R, hold func(row R) Q) func() []Q {
+// sortedLaterBy is like sortedLater for rows that are modified in place; capture
+// returns an immutable copy of a row.
+func sortedLaterBy[R, Q any](table map[string]R, capture func(row R) Q) func() []Q {
 	type pair struct {
 		key string
 		row Q
 	}
 	pairs := make([]pair, 0, len(table))
 	for key, row := range table {
-		pairs = append(pairs, pair{key: key, row: hold(row)})
+		pairs = append(pairs, pair{key: key, row: capture(row)})
 	}
 	return func() []Q {
 		sort.Slice(pairs, func(i, j int) bool { return pairs[i].key < pairs[j].key })
@@ -210,9 +213,10 @@
 }
 
 // Sorted returns a table's rows in the order of their keys.
-func Sorted[R any](table map[string]R) []R { return freeze(table)() }
+func Sorted[R any](table map[string]R) []R { return sortedLater(table)() }
 
-// LoadConfiguration replaces all rows of the configuration.
+// LoadConfiguration replaces the configuration and its revision. All other state is
+// kept, except that Changes is emptied.
 func (s *State) LoadConfiguration(c *statev1.Configuration) {
 	fresh := New()
 	for _, r := range c.GetOrganisations() {
@@ -240,17 +244,17 @@
 	*s = *fresh
 }
 
-// Encode returns the whole state.
+// Encode returns a snapshot of the state.
 func (s *State) Encode() ([]byte, error) { return s.Capture()() }
 
-// Capture freezes the whole state and returns what encodes it. Rows in the
-// tables are replaced and never changed, so the frozen ones can be encoded
-// while the state goes on.
+// Capture captures the state and returns a function that encodes it as a snapshot.
+// Rows in the tables are replaced and never modified, so the captured rows can be
+// encoded while entries are applied.
 func (s *State) Capture() func() ([]byte, error) {
-	configuration := s.freezeConfiguration()
-	budgets := freezeBy(s.Budgets, (*Budget).row)
-	usages := freezeBy(s.Usages, slices.Clone[[]*statev1.GroupUsage])
-	results := freezeBy(s.Results, slices.Clone[[]*statev1.CommandResult])
+	configuration := s.captureConfiguration()
+	budgets := sortedLaterBy(s.Budgets, (*Budget).row)
+	usages := sortedLaterBy(s.Usages, slices.Clone[[]*statev1.GroupUsage])
+	results := sortedLaterBy(s.Results, slices.Clone[[]*statev1.CommandResult])
 	snapshot := &statev1.Snapshot{Version: Version, LastToken: s.LastToken, Orders: Sorted(s.Orders), Untold: s.untoldRows()}
 	snapshot.Changes = slices.Clone(s.Changes[max(0, len(s.Changes)-MaxChanges):])
 	s.Routing.snapshot(snapshot)
@@ -265,19 +269,19 @@
 	}
 }
 
-// Decode returns the state that Encode wrote.
+// Decode returns the state of a snapshot written by Encode.
 func Decode(data []byte) (*State, error) {
 	var snapshot statev1.Snapshot
 	if err := proto.Unmarshal(data, &snapshot); err != nil {
 		return nil, errors.WithStack(err)
 	}
 	if snapshot.GetVersion() > Version {
-		return nil, errors.Errorf("the snapshot has version %d, this program reads up to %d: upgrade it", snapshot.GetVersion(), Version)
+		return nil, errors.Errorf("snapshot version %d is newer than the supported version %d: upgrade this program", snapshot.GetVersion(), Version)
 	}
 	s := New()
 	s.LoadConfiguration(snapshot.GetConfiguration())
 	for _, row := range snapshot.GetBudgets() {
-		s.Budgets[row.GetName()] = budgetOf(row)
+		s.Budgets[row.GetName()] = budgetFromRow(row)
 	}
 	for _, u := range snapshot.GetUsages() {
 		s.Usages[u.GetGroup()] = append(s.Usages[u.GetGroup()], u)
@@ -292,10 +296,10 @@
 	}
 	for _, row := range snapshot.GetUntold() {
 		for _, budget := range row.GetBudgets() {
-			s.tell(row.GetHolder(), budget)
+			s.markUntold(row.GetHolder(), budget)
 		}
 	}
-	s.Routing = routingOf(&snapshot)
+	s.Routing = routingFromSnapshot(&snapshot)
 	s.Quarantine = quarantine.Load(&snapshot)
 	return s, nil
 }
--- a/models/state/state_test.go
+++ b/models/state/state_test.go
@@ -16,7 +16,7 @@
 	"havenwinch.dev/havenwinch/models/state"
 )
 
-// sender sends commands as operators do.
+// sender applies commands of operators to a state.
 type sender struct {
 	t     *testing.T
 	state *state.State
@@ -97,7 +97,8 @@
 	}
 }
 
-// TestOperatorsRace covers equal numbers, resent commands and conditions.
+// TestOperatorsRace covers commands that are sent again, commands with the number of
+// another one, and commands that expect a revision.
 func TestOperatorsRace(t *testing.T) {
 	tests := map[string]struct {
 		operator string
@@ -170,8 +171,8 @@
 	}
 }
 
-// TestFollowerReachesSameConfiguration feeds changes to a copy from every
-// revision on, as a box does that was away.
+// TestFollowerReachesSameConfiguration applies the changes after various revisions to
+// a copy, as a box does that was disconnected.
 func TestFollowerReachesSameConfiguration(t *testing.T) {
 	s := newSender(t)
 	for i := range 500 {
