--- a/models/allot/allot.go
+++ b/models/allot/allot.go
@@ -2,45 +2,46 @@
 // SPDX-License-Identifier: MIT
 
 // Package allot decides how the free tokens of a budget are split among the
-// holders. Whatever it decides, the state machine bounds it by what is not
-// allotted, so a poor decision costs refusals or messages and never overspend.
+// holders. The state machine limits every grant to the unallotted tokens, so a poor
+// decision costs refusals or messages and never leads to overspending.
 package allot
 
 import "sort"
 
-// Holder is one ledger's view of a budget, as last reported.
+// Holder is the last report of one ledger about a budget.
 type Holder struct {
 	Name string
-	// Free is what it could still reserve.
+	// Free is the number of tokens that the holder can still reserve.
 	Free uint64
-	// Rate is its demand in tokens a second.
+	// Rate is the holder's demand in tokens per second.
 	Rate uint64
-	// Need is what its waiting requests lack.
+	// Need is the number of tokens that the holder's waiting requests lack.
 	Need uint64
 }
 
-// Plan is what to do for one holder that has reported.
+// Plan is the decision after one holder, the asker, has reported.
 type Plan struct {
-	// Grant is what to allot out of the unallotted tokens.
+	// Grant is the number of unallotted tokens to allot to the asker.
 	Grant uint64
-	// Spread are grants to other holders, before they ask.
+	// Spread holds grants to other holders, which have not asked.
 	Spread []Move
-	// Recalls are what to ask back from others.
+	// Recalls holds the tokens that other holders are asked to return.
 	Recalls []Move
 }
 
-// Move is an amount for or from one holder.
+// Move is a number of tokens to grant to or recall from a holder.
 type Move struct {
 	Holder string
 	Tokens uint64
 }
 
-// Policy plans for the holder at index asker, given what nobody holds.
+// Policy decides on the report of the holder at index asker, given the number of
+// unallotted tokens.
 type Policy interface {
 	Plan(unallotted uint64, holders []Holder, asker int) Plan
 }
 
-// Equal splits a budget evenly among all holders once, and moves nothing.
+// Equal splits a budget evenly among all holders once, and moves no tokens later.
 type Equal struct{}
 
 // Plan implements Policy.
@@ -57,8 +58,8 @@
 	return Plan{Grant: unallotted / empty}
 }
 
-// OnDemand grants a holder what it lacks and a fixed chunk more, and leaves
-// the rest with control.
+// OnDemand grants a holder the tokens it lacks and a fixed chunk in addition, and
+// leaves the rest unallotted.
 type OnDemand struct {
 	Chunk uint64
 }
@@ -72,34 +73,33 @@
 	if need <= unallotted {
 		return Plan{Grant: min(unallotted, need+p.Chunk)}
 	}
-	return Plan{Grant: unallotted, Recalls: pull(holders, asker, need-unallotted, nil)}
+	return Plan{Grant: unallotted, Recalls: recallFromFreest(holders, asker, need-unallotted, nil)}
 }
 
-// slack is how far a holder's free tokens may lie under its target before it is
-// topped up, and as far above before it is asked to give back.
-const slack = 0.25
+// tolerance is the fraction by which a holder's free tokens may be below its target
+// before it is granted more, or above it before it is asked to return some.
+const tolerance = 0.25
 
-// Proportional hands everything out in proportion to demand, so that all
-// holders would last about equally long if they were cut off now.
+// Proportional allots all tokens in proportion to demand, so that the tokens of all
+// holders would last about equally long in a partition.
 type Proportional struct {
-	// SpreadFrom is the smallest amount that is granted to a holder that has
-	// not asked, so that it can serve a first request while it is cut off.
-	// Zero grants nothing unasked.
+	// SpreadFrom is the minimum grant to a holder that has not asked, which lets it
+	// serve a first request during a partition. Zero disables such grants.
 	SpreadFrom uint64
-	// Floor is the part of the demand that is spread evenly, so that a holder
-	// without demand is not left without tokens.
+	// Floor is the fraction of the demand that is spread evenly, so that a holder
+	// without demand gets tokens, too.
 	Floor float64
-	// Keep is the part that control keeps back, for demand that turns and so
-	// that a lost ledger takes less with it.
+	// Keep is the fraction of tokens that stays unallotted, as a reserve for
+	// changes in demand and so that fewer tokens are lost with a lost ledger.
 	Keep float64
 }
 
-// DefaultSpread is the smallest unasked amount: a little over what one usual
-// request reserves. Smaller shares would serve nobody.
+// DefaultSpread is the default of Proportional.SpreadFrom. It is a little more than
+// a typical request reserves; a holder could not serve any with less.
 const DefaultSpread = 2000
 
-// Chosen is the policy that the daemon runs; docs/MEASUREMENTS.md has the
-// comparison that led to it.
+// Chosen returns the policy that the daemon uses. docs/MEASUREMENTS.md has the
+// comparison of policies that it was selected by.
 func Chosen() Policy {
 	return Proportional{SpreadFrom: DefaultSpread, Floor: 1}
 }
@@ -108,7 +108,7 @@
 func (p Proportional) Plan(unallotted uint64, holders []Holder, asker int) Plan {
 	targets := p.Targets(unallotted, holders)
 	me := holders[asker]
-	low := float64(me.Free) < float64(targets[asker])*(1-slack)
+	low := float64(me.Free) < float64(targets[asker])*(1-tolerance)
 	if me.Need == 0 && !low {
 		return Plan{Spread: p.spread(unallotted, holders, targets, asker)}
 	}
@@ -119,23 +119,24 @@
 	plan := Plan{Grant: min(wanted, unallotted)}
 	plan.Spread = p.spread(unallotted-plan.Grant, holders, targets, asker)
 	if short := wanted - plan.Grant; short > 0 {
-		must := uint64(0)
+		required := uint64(0)
 		if me.Need > plan.Grant {
-			must = me.Need - plan.Grant
+			required = me.Need - plan.Grant
 		}
-		plan.Recalls = recall(holders, targets, asker, short, must)
+		plan.Recalls = recallExcess(holders, targets, asker, short, required)
 	}
 	return plan
 }
 
-// spread grants to holders far below their targets what is not allotted.
+// spread returns grants of unallotted tokens to holders other than the asker that
+// are below their target by more than the tolerance.
 func (p Proportional) spread(unallotted uint64, holders []Holder, targets []uint64, asker int) []Move {
 	if p.SpreadFrom == 0 {
 		return nil
 	}
 	var list []Move
 	for i, h := range holders {
-		if i == asker || float64(h.Free) >= float64(targets[i])*(1-slack) {
+		if i == asker || float64(h.Free) >= float64(targets[i])*(1-tolerance) {
 			continue
 		}
 		tokens := min(targets[i]-h.Free, unallotted)
@@ -148,7 +149,7 @@
 	return list
 }
 
-// Targets returns the free tokens that each holder should have.
+// Targets returns the number of free tokens that each holder should have.
 func (p Proportional) Targets(unallotted uint64, holders []Holder) []uint64 {
 	total, demand := unallotted, uint64(0)
 	for _, h := range holders {
@@ -167,27 +168,28 @@
 	return targets
 }
 
-// recall asks holders well above their target for the excess, and then, when
-// a waiting request must have more, for whatever is free.
-func recall(holders []Holder, targets []uint64, asker int, short, must uint64) []Move {
+// recallExcess recalls up to short tokens from the holders that are above their
+// target by more than the tolerance. If that yields less than required, the number that
+// waiting requests lack, it recalls the rest from any free tokens.
+func recallExcess(holders []Holder, targets []uint64, asker int, short, required uint64) []Move {
 	taken := make([]uint64, len(holders))
 	for i, h := range holders {
-		if i == asker || short == 0 || float64(h.Free) <= float64(targets[i])*(1+slack) {
+		if i == asker || short == 0 || float64(h.Free) <= float64(targets[i])*(1+tolerance) {
 			continue
 		}
 		taken[i] = min(short, h.Free-targets[i])
 		short -= taken[i]
-		must -= min(must, taken[i])
+		required -= min(required, taken[i])
 	}
-	if must > 0 {
-		return pull(holders, asker, must, taken)
+	if required > 0 {
+		return recallFromFreest(holders, asker, required, taken)
 	}
-	return listRecalls(holders, taken)
+	return recallsOf(holders, taken)
 }
 
-// pull gathers tokens from the holders with most free ones first, besides
-// what is taken from them already.
-func pull(holders []Holder, asker int, tokens uint64, taken []uint64) []Move {
+// recallFromFreest recalls tokens from the holders with the most free tokens first,
+// in addition to those that taken holds by holder.
+func recallFromFreest(holders []Holder, asker int, tokens uint64, taken []uint64) []Move {
 	if taken == nil {
 		taken = make([]uint64, len(holders))
 	}
@@ -206,10 +208,10 @@
 		taken[i] += more
 		tokens -= more
 	}
-	return listRecalls(holders, taken)
+	return recallsOf(holders, taken)
 }
 
-func listRecalls(holders []Holder, taken []uint64) []Move {
+func recallsOf(holders []Holder, taken []uint64) []Move {
 	var list []Move
 	for i, h := range holders {
 		if taken[i] > 0 {
--- a/models/allot/lease.go
+++ b/models/allot/lease.go
@@ -3,33 +3,34 @@
 
 package allot
 
-// LeaseState is what is known of one organisation's budget when a holder asks.
-// All amounts are in tokens, rates in tokens a second.
+// LeaseState is the state of one organisation's budget when a holder asks. All
+// amounts are in tokens and rates in tokens per second.
 type LeaseState struct {
 	Prepaid    uint64
 	Unallotted uint64
 	// Holders is the number of entry boxes that report.
 	Holders int
-	// Free is what all holders together have and neither spent nor reserved.
+	// Free is the sum of all holders' tokens that are neither spent nor reserved.
 	Free uint64
-	// Rate is what all holders together spend.
+	// Rate is the sum of all holders' demand.
 	Rate uint64
 }
 
-// LeasePart says whether a box should hold an organisation's lease.
+// LeasePart is the role of a box for an organisation's lease.
 type LeasePart int
 
 const (
-	// LeaseHolder holds one for itself and for others.
+	// LeaseHolder is a box that holds a lease for itself and for others.
 	LeaseHolder LeasePart = iota
-	// LeaseGuest draws at others, and gets only what its requests lack.
+	// LeaseGuest is a box that draws on leases of others, and is granted only what
+	// its requests lack.
 	LeaseGuest
-	// LeaseUndecided keeps what it has until it is known.
+	// LeaseUndecided is a box whose role is not known yet. It keeps its tokens.
 	LeaseUndecided
 )
 
-// LeaseDemand is what one holder reports. Available is what it was allotted
-// and has neither returned nor spent; reserved tokens are part of it.
+// LeaseDemand is the report of one box. Available is the number of tokens that were
+// allotted to it and are neither returned nor spent, including reserved ones.
 type LeaseDemand struct {
 	Part      LeasePart
 	Available uint64
@@ -38,29 +39,32 @@
 	Need      uint64
 }
 
-// LeaseDecision is what a holder is granted, and what it should keep at most.
+// LeaseDecision holds the tokens to grant to a box, and the maximum that it should
+// keep; it returns free tokens beyond that.
 type LeaseDecision struct {
 	Grant uint64
 	Keep  uint64
 }
 
 const (
-	// leaseHorizon is how many seconds a holder should be able to go on for
-	// while control can't be reached.
-	leaseHorizon = 11.0
-	// leasePool is the part of all free tokens that leases may bind.
-	leasePool = 0.6
-	// leaseFloor is the part of a prepaid amount that is spread evenly before
-	// demand is known.
-	leaseFloor = 0.3
-	// leaseLow is the part of its target below which a holder is granted more.
-	leaseLow = 0.8
-	// leaseHigh is the multiple of its target above which a holder returns.
-	leaseHigh = 1.6
+	// leaseHorizonSeconds is the time in seconds for which a holder's lease should
+	// last while control is unreachable.
+	leaseHorizonSeconds = 11.0
+	// leasePoolFraction is the fraction of all free tokens that leases may take up.
+	leasePoolFraction = 0.6
+	// leaseFloorFraction is the fraction of a prepaid amount that is spread evenly
+	// before demand is known.
+	leaseFloorFraction = 0.3
+	// grantBelow is the fraction of its target below which a box is granted more.
+	grantBelow = 0.8
+	// returnAbove is the multiple of its target above which a box has to return
+	// tokens.
+	returnAbove = 1.6
 )
 
-// Lease decides by demand with an even floor: every holder gets tokens for the
-// same time ahead, shorter as the free ones grow few.
+// Lease decides on a box's report. Every holder gets tokens for the same time ahead
+// at its demand, and at least an equal share of a floor. The time gets shorter as
+// fewer tokens are free.
 func Lease(s LeaseState, d LeaseDemand) LeaseDecision {
 	target := leaseTarget(s, d)
 	decision := LeaseDecision{Keep: d.Available}
@@ -68,26 +72,27 @@
 	available := float64(d.Available)
 	switch {
 	case d.Part == LeaseUndecided && d.Need == 0:
-	case d.Need > 0 || available < leaseLow*wanted:
+	case d.Need > 0 || available < grantBelow*wanted:
 		if target > d.Available {
 			decision.Grant = min(target-d.Available, s.Unallotted)
 		}
 		decision.Keep = max(target, d.Available+decision.Grant)
-	case available > leaseHigh*wanted:
+	case available > returnAbove*wanted:
 		decision.Keep = target
 	}
 	return decision
 }
 
+// leaseTarget returns the number of tokens that a box should have available.
 func leaseTarget(s LeaseState, d LeaseDemand) uint64 {
 	if d.Part != LeaseHolder {
 		return d.Reserved + d.Need
 	}
-	pool := leasePool * float64(s.Unallotted+s.Free)
-	horizon := leaseHorizon
+	pool := leasePoolFraction * float64(s.Unallotted+s.Free)
+	horizon := leaseHorizonSeconds
 	if s.Rate > 0 {
 		horizon = min(horizon, pool/float64(s.Rate))
 	}
-	floor := min(leaseFloor*float64(s.Prepaid), pool/2) / float64(max(1, s.Holders))
+	floor := min(leaseFloorFraction*float64(s.Prepaid), pool/2) / float64(max(1, s.Holders))
 	return d.Reserved + d.Need + uint64(max(floor, horizon*float64(d.Rate)))
 }
--- a/models/language/language.go
+++ b/models/language/language.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package language reads the operators' query and command language. Its
-// grammar stands in the struct tags below and in docs/API.md.
+// Package language parses the operators' query and command language. The grammar is
+// defined by the struct tags below and described in docs/API.md.
 package language
 
 import (
@@ -17,10 +17,10 @@
 	"havenwinch.dev/havenwinch/modules/digest"
 )
 
-// MaxLength bounds a command or query, in bytes.
+// MaxLength is the maximum length of a command or query in bytes.
 const MaxLength = 16 << 10
 
-var tokens = lexer.MustSimple([]lexer.SimpleRule{
+var lexerRules = lexer.MustSimple([]lexer.SimpleRule{
 	{Name: "Number", Pattern: `[0-9]+\b`},
 	{Name: "Word", Pattern: `[A-Za-z0-9][A-Za-z0-9._/:@-]*`},
 	{Name: "Comma", Pattern: `,`},
@@ -106,18 +106,19 @@
 	Limit   int      `parser:"( 'limit' @Number )?"`
 }
 
-// Filter keeps the rows whose column has a value.
+// Filter selects the rows whose column has the given value.
 type Filter struct {
 	Column string `parser:"@Word '='"`
 	Value  string `parser:"@( Word | Number )"`
 }
 
 var (
-	commands = participle.MustBuild[commandTree](participle.Lexer(tokens), participle.UseLookahead(2))
-	queries  = participle.MustBuild[Query](participle.Lexer(tokens))
+	commandParser = participle.MustBuild[commandTree](participle.Lexer(lexerRules), participle.UseLookahead(2))
+	queryParser   = participle.MustBuild[Query](participle.Lexer(lexerRules))
 )
 
-// ErrSyntax says where a text does not follow the grammar.
+// ErrSyntax reports text that does not follow the grammar. Column is the position in
+// the text, counted from 1, or 0 if it is unknown.
 type ErrSyntax struct {
 	Column  int
 	Message string
@@ -127,32 +128,34 @@
 	return fmt.Sprintf("at character %d: %s; see havenwinch help for the language", e.Column, e.Message)
 }
 
-// IsErrSyntax tells whether an error is an ErrSyntax.
+// IsErrSyntax reports whether the cause of an error is an ErrSyntax.
 func IsErrSyntax(err error) bool {
 	_, ok := errors.Cause(err).(ErrSyntax)
 	return ok
 }
 
-// ParseQuery reads a query.
+// ParseQuery parses a query. Its error is an ErrSyntax.
 func ParseQuery(text string) (*Query, error) {
 	if err := checkLength(text); err != nil {
 		return nil, err
 	}
-	q, err := queries.ParseString("", text)
-	return q, syntax(err)
+	q, err := queryParser.ParseString("", text)
+	return q, syntaxError(err)
 }
 
-// ParseCommand reads a command and fills in who sends it under which number.
+// ParseCommand parses a command of an operator. number identifies the command among
+// those of the operator; expect is the revision that the configuration must have, or
+// zero for any. Its error is an ErrSyntax.
 func ParseCommand(operator string, number, expect uint64, text string) (*statev1.Command, error) {
 	if err := checkLength(text); err != nil {
 		return nil, err
 	}
-	tree, err := commands.ParseString("", text)
+	tree, err := commandParser.ParseString("", text)
 	if err != nil {
-		return nil, syntax(err)
+		return nil, syntaxError(err)
 	}
 	c := &statev1.Command{Operator: operator, Number: number, ExpectRevision: expect}
-	// The digest covers the words, not the spaces between them.
+	// The digest ignores differences in white space.
 	c.Digest = digest.Of([]byte(strings.Join(strings.Fields(text), " ")), fmt.Appendf(nil, "%d", expect))
 	tree.fill(c)
 	return c, nil
@@ -165,7 +168,7 @@
 	return nil
 }
 
-func syntax(err error) error {
+func syntaxError(err error) error {
 	if err == nil {
 		return nil
 	}
@@ -224,7 +227,7 @@
 	c.Action = t.Group.action(false)
 }
 
-// defaultTokens is the limit of generated tokens of a group that names none.
+// defaultTokens is the default limit of generated tokens of a group.
 const defaultTokens = 1024
 
 func (t *groupTree) action(create bool) *statev1.Command_PutGroup {
--- a/models/language/language_test.go
+++ b/models/language/language_test.go
@@ -51,14 +51,14 @@
 		text string
 		want string
 	}{
-		"empty":           {"", "at character 1"},
-		"unknown verb":    {"destroy everything", "at character 1: unexpected token \"destroy\""},
-		"missing amount":  {"grant to north/main", "at character 7: unexpected token \"to\""},
-		"negative amount": {"grant -5 to north/main", "at character 7"},
-		"overflow":        {"grant 99999999999999999999999 to north/main", "value out of range"},
-		"rest":            {"drain target a b", "at character 16: unexpected token \"b\""},
-		"too long":        {"drain target " + strings.Repeat("a", MaxLength), "longer than"},
-		"odd character":   {"drain target ;", "at character 14"},
+		"empty":             {"", "at character 1"},
+		"unknown verb":      {"destroy everything", "at character 1: unexpected token \"destroy\""},
+		"missing amount":    {"grant to north/main", "at character 7: unexpected token \"to\""},
+		"negative amount":   {"grant -5 to north/main", "at character 7"},
+		"overflow":          {"grant 99999999999999999999999 to north/main", "value out of range"},
+		"trailing text":     {"drain target a b", "at character 16: unexpected token \"b\""},
+		"too long":          {"drain target " + strings.Repeat("a", MaxLength), "longer than"},
+		"invalid character": {"drain target ;", "at character 14"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -80,10 +80,10 @@
 	}
 	base := parse(0, "drain target a")
 	if parse(0, "drain   target a ") != base {
-		t.Error("spaces must not count")
+		t.Error("white space changes the digest")
 	}
 	if parse(0, "drain target b") == base || parse(3, "drain target a") == base {
-		t.Error("another target or revision must count")
+		t.Error("another target or revision does not change the digest")
 	}
 }
 
