--- a/models/lease/limit.go
+++ b/models/lease/limit.go
@@ -36,7 +36,7 @@
 )
 
 // partitionAllowance returns the additional tokens that a partitioned holder may
-// use when elapsed has passed since its last report.
+// use when elapsed has passed since its last sample.
 func partitionAllowance(basis uint64, elapsed time.Duration) uint64 {
 	if elapsed < partitionTimeout {
 		return 0
--- a/models/state/starts_test.go
+++ b/models/state/starts_test.go
@@ -71,7 +71,7 @@
 			calls: []call{{row: start("b", "x", 20, ready, 1)}, {row: start("a", "x", 10, ready, 1)}},
 			want:  map[string]string{"b": "READY 20"},
 		},
-		"calls that a cut held back come at once": {
+		"calls delayed by a partition arrive together": {
 			calls: []call{{at: 100, row: start("b", "x", 20, ready, 1)}, {at: 200, row: start("a", "x", 10, ready, 1)}, {at: 210, row: start("a", "x", 10, ready, 2)}, {at: 220, row: start("a", "x", 10, ready, 3)}, {at: 900, row: start("a", "x", 10, ready, 4)}},
 			want:  map[string]string{"b": "READY 20"},
 		},
