--- a/models/target/cache.go
+++ b/models/target/cache.go
@@ -11,36 +11,38 @@
 )
 
 const (
-	// BlockBytes is the prompt text that one cache block covers.
+	// BlockBytes is the number of bytes of prompt text in one cache block.
 	BlockBytes = 256
-	// blockTokens is the estimate of tokens in a block.
+	// blockTokens is the estimated number of tokens in a block, at four bytes each.
 	blockTokens = BlockBytes / 4
-	// maxBlocks bounds the blocks known of one target.
+	// maxBlocks bounds the blocks recorded for one target.
 	maxBlocks = 8192
-	// freshness is how old evidence of a target's cache may be.
-	freshness = 30 * time.Second
+	// maxCacheAge is how long the record of a target's cache is used after its last
+	// update.
+	maxCacheAge = 30 * time.Second
 )
 
-// Block names a prompt's text up to and with one block, inside one scope. The
-// scope is part of the digest, so evidence of one organisation never matches
-// another's prompt.
+// Block is the digest of a prompt from its start to the end of one cache block.
+// The digest includes the scope, so that cache events from one organisation never
+// match a prompt of another.
 type Block uint64
 
-// Blocks returns the chain of a prompt's whole blocks.
+// Blocks returns the digests of a prompt's complete blocks in order, nil if the
+// prompt is shorter than one block. Each digest includes the one before it.
 func Blocks(scope, model, prompt string) []Block {
 	n := len(prompt) / BlockBytes
 	if n == 0 {
 		return nil
 	}
 	blocks := make([]Block, 0, n)
-	var link [8]byte
+	var previous [8]byte
 	h := xxhash.New()
 	_, _ = h.WriteString(scope + "\x00" + model)
 	last := h.Sum64()
 	for i := range n {
 		h.Reset()
-		binary.LittleEndian.PutUint64(link[:], last)
-		_, _ = h.Write(link[:])
+		binary.LittleEndian.PutUint64(previous[:], last)
+		_, _ = h.Write(previous[:])
 		_, _ = h.WriteString(prompt[i*BlockBytes : (i+1)*BlockBytes])
 		last = h.Sum64()
 		blocks = append(blocks, Block(last))
@@ -48,74 +50,76 @@
 	return blocks
 }
 
-// CacheEvent is one event of a target's prefix cache.
+// CacheEvent reports that a target's prefix cache has stored or evicted a block.
 type CacheEvent struct {
-	// Sequence rises by one with each event of one Epoch.
+	// Sequence increases by one with each event within an epoch.
 	Sequence uint64
 	Evicted  bool
 	Block    Block
 }
 
-// Cache is what is known of a target's prefix cache. Evidence that is old or
-// has a gap leads to recomputing, never to reuse that is not there: the target
-// decides on reuse, the router only guesses where it is likely.
+// Cache records what is known of a target's prefix cache. An outdated or
+// incomplete record can only cause a recomputation, never a wrong reuse: the target
+// decides on reuse, and the router only estimates where it is likely.
 type Cache struct {
-	epoch    string
-	sequence uint64
-	known    map[Block]bool
-	fresh    time.Duration
-	// Stale and Gaps count events that came too late and gaps in the sequence.
-	Stale uint64
-	Gaps  uint64
+	epoch     string
+	sequence  uint64
+	blocks    map[Block]bool
+	updatedAt time.Duration
+	// StaleEvents counts events that arrived out of order and were ignored, Gaps the gaps
+	// in the sequence.
+	StaleEvents  uint64
+	SequenceGaps uint64
 }
 
-// Next returns the epoch and sequence after which events are wanted.
+// Next returns the epoch and sequence number of the last applied event. Events
+// after it are to be requested from the target.
 func (c *Cache) Next() (string, uint64) { return c.epoch, c.sequence }
 
-// Take takes events in. Another epoch forgets all, since the cache is another
-// one. A gap is counted and what is known is kept: a lost eviction leads to a
-// worse guess and a recomputation, and forgetting all at every gap cost more
-// (docs/MEASUREMENTS.md).
+// Take applies events that were received at now. A new epoch clears the record,
+// since it belongs to a new cache. A gap in the sequence is counted and the record
+// is kept: a missed eviction costs a wrong estimate and a recomputation, whereas
+// clearing the record at every gap cost more (docs/MEASUREMENTS.md).
 func (c *Cache) Take(epoch string, events []CacheEvent, now time.Duration) {
 	if epoch != c.epoch {
-		c.forget(epoch, 0)
+		c.reset(epoch, 0)
 	}
-	c.fresh = now
+	c.updatedAt = now
 	for _, e := range events {
 		if e.Sequence <= c.sequence {
-			c.Stale++
+			c.StaleEvents++
 			continue
 		}
 		if e.Sequence != c.sequence+1 {
-			c.Gaps++
+			c.SequenceGaps++
 		}
 		c.sequence = e.Sequence
-		c.note(e)
+		c.applyEvent(e)
 	}
 }
 
-func (c *Cache) forget(epoch string, sequence uint64) {
-	c.epoch, c.sequence, c.known = epoch, sequence, nil
+func (c *Cache) reset(epoch string, sequence uint64) {
+	c.epoch, c.sequence, c.blocks = epoch, sequence, nil
 }
 
-func (c *Cache) note(e CacheEvent) {
+func (c *Cache) applyEvent(e CacheEvent) {
 	if e.Evicted {
-		delete(c.known, e.Block)
+		delete(c.blocks, e.Block)
 		return
 	}
-	if c.known == nil || len(c.known) >= maxBlocks {
-		c.known = map[Block]bool{}
+	if c.blocks == nil || len(c.blocks) >= maxBlocks {
+		c.blocks = map[Block]bool{}
 	}
-	c.known[e.Block] = true
+	c.blocks[e.Block] = true
 }
 
-// Reusable returns the estimate of prompt tokens that the target holds.
+// Reusable returns the estimated number of prompt tokens that the target has cached.
 func (c *Cache) Reusable(blocks []Block, now time.Duration) int {
-	if now-c.fresh > freshness {
+	if now-c.updatedAt > maxCacheAge {
 		return 0
 	}
 	n := 0
-	for n < len(blocks) && c.known[blocks[n]] {
+	for n < len(blocks) && c.blocks[blocks[n]] {
 		n++
 	}
 	return n * blockTokens
--- a/models/target/choose.go
+++ b/models/target/choose.go
@@ -8,72 +8,78 @@
 	"time"
 )
 
-// Need is what a decision must know of a request.
+// Need describes a request for the choice of its target.
 type Need struct {
 	Model   string
 	Service string
-	// Blocks are the prompt's cache blocks, Prompt its estimated tokens.
+	// Blocks are the prompt's cache blocks, Prompt its estimated number of tokens.
 	Blocks []Block
 	Prompt int
-	// Interactive requests may use the slots that are kept free for them.
+	// Interactive requests may use the slots that are reserved for them.
 	Interactive bool
-	// Exclude holds targets that have failed this request already.
+	// Exclude names the targets that have already failed this request.
 	Exclude map[string]bool
-	// DataCentre of the box, whose targets are preferred.
+	// DataCentre is the box's own; targets in it are preferred.
 	DataCentre string
 }
 
-// Limits are the rolled-out values that bound a decision.
+// Limits are the configured values that bound a decision.
 type Limits struct {
+	// Slots is how many requests of this box a target may serve at a time.
+	// InteractiveSlots of them are reserved for interactive requests.
 	Slots            int
 	InteractiveSlots int
-	// DecodeWeight is the cost of a running request in sixteenths of a prompt
-	// token of this request's size.
+	// DecodeWeight is the cost of one running request, in sixteenths of the prompt
+	// of the request to place.
 	DecodeWeight int
 }
 
-// Reason says why a candidate was not taken into account.
+// Reason says whether a candidate is eligible and, if not, why.
 type Reason string
 
-// Reasons.
 const (
-	Eligible    Reason = "eligible"
-	IsLeaving   Reason = "leaving"
-	IsDrained   Reason = "drained"
-	IsEjected   Reason = "ejected"
-	IsFull      Reason = "full"
-	HasFailed   Reason = "failed this request"
-	IsElsewhere Reason = "in another data centre"
+	Eligible              Reason = "eligible"
+	ReasonLeaving         Reason = "leaving"
+	ReasonDrained         Reason = "drained"
+	ReasonEjected         Reason = "ejected"
+	ReasonFull            Reason = "full"
+	ReasonFailed          Reason = "failed this request"
+	ReasonOtherDataCentre Reason = "in another data centre"
 )
 
-// Score is the cost of one candidate, in prompt tokens.
+// Score is the estimated cost of placing a request on one candidate, in prompt
+// tokens.
 type Score struct {
-	Target    string
-	Reason    Reason
+	Target string
+	Reason Reason
+	// Recompute is the part of the prompt that is not cached, Queued the prompts
+	// that the target has yet to read, Decode the cost of its running requests.
 	Recompute int
 	Queued    int
 	Decode    int
 }
 
-// Cost is the sum of a score's parts; the lowest wins.
+// Cost returns the total cost; the candidate with the lowest is preferred.
 func (s Score) Cost() int { return s.Recompute + s.Queued + s.Decode }
 
-// Decision is the outcome for one request, with what explains it.
+// Decision is the chosen target for a request, with the scores of all candidates.
 type Decision struct {
 	// Target is nil when no candidate is eligible now.
 	Target *Target
 	Scores []Score
-	// Waitable says that a candidate would be eligible but for its load.
+	// Waitable is set if the load alone makes a candidate ineligible, so that the
+	// request may wait for it.
 	Waitable bool
 }
 
-// Policy picks one of the eligible candidates; scores stand beside them.
+// Policy picks one of the eligible candidates and returns its index. scores[i]
+// belongs to candidates[i].
 type Policy interface {
 	Pick(candidates []*Target, scores []Score, rng *rand.Rand) int
 }
 
-// Choose picks the target for a request. Targets in the box's own data centre
-// go first; others are used only when none there is eligible or waitable.
+// Choose picks the target for a request. Targets in other data centres are used
+// only if none in the box's own is eligible or worth waiting for.
 func Choose(p Policy, candidates []*Target, need Need, limits Limits, now time.Duration, rng *rand.Rand) Decision {
 	d := choose(p, candidates, need, limits, now, rng, true)
 	if d.Target != nil || d.Waitable {
@@ -82,17 +88,17 @@
 	return choose(p, candidates, need, limits, now, rng, false)
 }
 
-func choose(p Policy, candidates []*Target, need Need, limits Limits, now time.Duration, rng *rand.Rand, home bool) Decision {
+func choose(p Policy, candidates []*Target, need Need, limits Limits, now time.Duration, rng *rand.Rand, localOnly bool) Decision {
 	var d Decision
 	var eligible []*Target
 	var scores []Score
 	for _, t := range candidates {
 		s := score(t, need, limits, now)
-		if home && t.DataCentre != need.DataCentre {
-			s.Reason = IsElsewhere
+		if localOnly && t.DataCentre != need.DataCentre {
+			s.Reason = ReasonOtherDataCentre
 		}
 		d.Scores = append(d.Scores, s)
-		if s.Reason == IsFull {
+		if s.Reason == ReasonFull {
 			d.Waitable = true
 		}
 		if s.Reason == Eligible {
@@ -112,7 +118,7 @@
 		Target:    t.Name,
 		Reason:    reason(t, need, limits, load, now),
 		Recompute: max(0, need.Prompt-t.Cache.Reusable(need.Blocks, now)),
-		Queued:    t.ReportedPrompt,
+		Queued:    t.ReportedPromptTokens,
 		Decode:    load * limits.DecodeWeight * need.Prompt / 16,
 	}
 }
@@ -124,21 +130,21 @@
 	}
 	switch {
 	case t.Listed == Leaving:
-		return IsLeaving
+		return ReasonLeaving
 	case t.Drained:
-		return IsDrained
+		return ReasonDrained
 	case need.Exclude[t.Name]:
-		return HasFailed
+		return ReasonFailed
 	case t.Health.Ejected(now):
-		return IsEjected
+		return ReasonEjected
 	case t.InFlight >= slots || load >= 2*slots:
-		return IsFull
+		return ReasonFull
 	default:
 		return Eligible
 	}
 }
 
-// RoundRobin takes the candidates in turn.
+// RoundRobin picks the candidates in turn.
 type RoundRobin struct{ next int }
 
 // Pick implements Policy.
@@ -147,23 +153,24 @@
 	return p.next % len(candidates)
 }
 
-// LeastLoad takes the candidate with the fewest requests.
+// LeastLoad picks the candidate with the fewest requests.
 type LeastLoad struct{}
 
 // Pick implements Policy.
 func (LeastLoad) Pick(candidates []*Target, _ []Score, _ *rand.Rand) int {
-	return lowest(len(candidates), func(i int) int { return candidates[i].Load() })
+	return indexOfLowest(len(candidates), func(i int) int { return candidates[i].Load() })
 }
 
-// LongestPrefix takes the candidate with most to reuse, whatever its load.
+// LongestPrefix picks the candidate with the longest cached prefix of the prompt,
+// regardless of load.
 type LongestPrefix struct{}
 
 // Pick implements Policy.
 func (LongestPrefix) Pick(candidates []*Target, scores []Score, _ *rand.Rand) int {
-	return lowest(len(candidates), func(i int) int { return scores[i].Recompute })
+	return indexOfLowest(len(candidates), func(i int) int { return scores[i].Recompute })
 }
 
-// TwoChoices takes the less loaded of two candidates drawn at random
+// TwoChoices picks the less loaded of two random candidates
 // (Mitzenmacher 2001).
 type TwoChoices struct{}
 
@@ -176,8 +183,8 @@
 	return a
 }
 
-// CacheLoad takes the lowest cost of recomputed prompt, queued prompts and
-// running requests together.
+// CacheLoad picks the candidate with the lowest total cost. The search starts at a
+// random candidate, so that ties are not always resolved in favour of the same one.
 type CacheLoad struct{}
 
 // Pick implements Policy.
@@ -193,7 +200,7 @@
 	return best
 }
 
-func lowest(n int, cost func(i int) int) int {
+func indexOfLowest(n int, cost func(i int) int) int {
 	best := 0
 	for i := 1; i < n; i++ {
 		if cost(i) < cost(best) {
@@ -203,7 +210,8 @@
 	return best
 }
 
-// PolicyByName returns a policy, nil for an unknown name.
+// PolicyByName returns the policy with the given configuration name, nil for an
+// unknown name.
 func PolicyByName(name string) Policy {
 	switch name {
 	case "round-robin":
--- a/models/target/words.go
+++ b/models/target/helpers.go
@@ -8,7 +8,7 @@
 	"sort"
 )
 
-func sameWords(a, b []string) bool { return slices.Equal(a, b) }
+func equalStrings(a, b []string) bool { return slices.Equal(a, b) }
 
 func sortedNames(table map[string]*Target) []string {
 	names := make([]string, 0, len(table))
--- a/models/target/target.go
+++ b/models/target/target.go
@@ -1,19 +1,18 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package target holds what a box knows of model engines and servers of plain
-// services, and decides which one serves a request. Decisions are pure: time
-// and randomness are passed in.
+// Package target tracks the model engines and the servers of plain services that a
+// box knows, and decides which of them serves a request. Decisions are
+// deterministic: the time and the source of randomness are passed in.
 package target
 
 import (
 	"time"
 )
 
-// State is whether a target may get new work.
+// State says whether a target may receive new requests.
 type State string
 
-// States of a target.
 const (
 	Live    State = "live"
 	Leaving State = "leaving"
@@ -21,16 +20,16 @@
 	Drained State = "drained"
 )
 
-// Kind tells engines from plain services.
+// Kind distinguishes model engines from servers of plain services.
 type Kind string
 
-// Kinds of targets.
 const (
 	Engine  Kind = "engine"
 	Service Kind = "service"
 )
 
-// Target is a row of one target.
+// Target is the state of one target as this box sees it. Times are relative to the
+// boot of the box.
 type Target struct {
 	Name       string
 	Address    string
@@ -38,63 +37,66 @@
 	Service    string
 	Models     []string
 	DataCentre string
-	// Listed is the state in the platform's list; Leaving stays once seen.
+	// Listed is the state in the platform's list. Once Leaving, it stays so.
 	Listed State
-	// Drained says that operators have drained it.
+	// Drained is set while an operator has the target drained.
 	Drained bool
-	// Seen is the boot time at which the list last named it.
-	Seen time.Duration
-	// InFlight counts this box's own requests, InFlightTokens their prompts.
-	InFlight       int
-	InFlightPrompt int
-	// Reported is the load the target published last, at boot time ReportedAt,
-	// and OwnThen how many of it were this box's own.
-	Reported       int
-	ReportedPrompt int
-	ReportedAt     time.Duration
-	OwnThen        int
-	Cache          Cache
-	Health         Health
+	// LastListed is when the platform's list last contained the target.
+	LastListed time.Duration
+	// InFlight counts the requests of this box at the target, InFlightPrompt their
+	// prompt tokens.
+	InFlight             int
+	InFlightPromptTokens int
+	// Reported and ReportedPrompt are the requests and queued prompt tokens in the
+	// target's last load report, which arrived at ReportedAt. OwnThen is how many of
+	// the requests were this box's own.
+	Reported             int
+	ReportedPromptTokens int
+	ReportedAt           time.Duration
+	OwnReported          int
+	Cache                Cache
+	Health               Health
 }
 
-// Health decides on ejection. After enough failures in a row a target gets
-// nothing until its pause ends, then one request as a probe.
+// Health decides on the ejection of a target. After ejectAfter consecutive failures
+// the target receives nothing for a pause that doubles with each further failure,
+// and then a single request as a probe.
 type Health struct {
-	failures int
-	until    time.Duration
-	pause    time.Duration
-	probing  bool
+	failures    int
+	pausedUntil time.Duration
+	pause       time.Duration
+	probing     bool
 }
 
 const (
 	ejectAfter = 3
-	firstPause = time.Second
-	mostPause  = 30 * time.Second
+	minPause   = time.Second
+	maxPause   = 30 * time.Second
 )
 
-// Fail notes a failure of the target itself.
+// Fail records a failure that is the target's own.
 func (h *Health) Fail(now time.Duration) {
 	h.failures++
 	h.probing = false
 	if h.failures < ejectAfter {
 		return
 	}
-	h.pause = min(max(2*h.pause, firstPause), mostPause)
-	h.until = now + h.pause
+	h.pause = min(max(2*h.pause, minPause), maxPause)
+	h.pausedUntil = now + h.pause
 }
 
-// Succeed notes a sound answer.
+// Succeed records a valid answer, which ends an ejection.
 func (h *Health) Succeed() { *h = Health{} }
 
-// Ejected tells whether the target is paused.
+// Ejected reports whether the target is paused or has a probe in progress.
 func (h *Health) Ejected(now time.Duration) bool {
-	return h.failures >= ejectAfter && (now < h.until || h.probing)
+	return h.failures >= ejectAfter && (now < h.pausedUntil || h.probing)
 }
 
-// probe marks that a request now tests a target whose pause has ended.
-func (h *Health) probe() { h.probing = h.failures >= ejectAfter }
+// startProbe records that a request is being sent. To an ejected target it is the startProbe.
+func (h *Health) startProbe() { h.probing = h.failures >= ejectAfter }
 
-// StateAt returns the state of a target.
+// StateAt returns the state of the target at the given time.
 func (t *Target) StateAt(now time.Duration) State {
 	switch {
 	case t.Listed == Leaving:
@@ -108,67 +110,69 @@
 	}
 }
 
-// Load is the estimated number of requests at the target: what it reported,
-// without this box's own of that time, and this box's own of now.
-func (t *Target) Load() int { return max(0, t.Reported-t.OwnThen) + t.InFlight }
+// Load returns the estimated number of requests at the target: those of other boxes
+// as of the last report, and this box's own as of now.
+func (t *Target) Load() int { return max(0, t.Reported-t.OwnReported) + t.InFlight }
 
-// Report takes a load report in.
+// Report records a load report of the target: its number of requests and the prompt
+// tokens that are queued there.
 func (t *Target) Report(running, prompt int, now time.Duration) {
-	t.Reported, t.ReportedPrompt, t.ReportedAt = running, prompt, now
-	t.OwnThen = min(t.InFlight, running)
+	t.Reported, t.ReportedPromptTokens, t.ReportedAt = running, prompt, now
+	t.OwnReported = min(t.InFlight, running)
 }
 
-// Begin notes that a request of this box goes to the target.
+// Begin records that this box sends a request with the given number of prompt tokens
+// to the target.
 func (t *Target) Begin(prompt int) {
 	t.InFlight++
-	t.InFlightPrompt += prompt
-	t.Health.probe()
+	t.InFlightPromptTokens += prompt
+	t.Health.startProbe()
 }
 
-// End notes that a request of this box has left the target.
+// End records that a request of this box has ended.
 func (t *Target) End(prompt int) {
 	t.InFlight--
-	t.InFlightPrompt -= prompt
+	t.InFlightPromptTokens -= prompt
 }
 
-// Table holds all targets of a box by name.
+// Table holds the targets that a box knows. It is not safe for concurrent use.
 type Table struct {
-	Targets map[string]*Target
-	byModel map[string][]*Target
-	byName  map[string][]*Target
+	Targets   map[string]*Target
+	byModel   map[string][]*Target
+	byService map[string][]*Target
 }
 
-// NewTable returns an empty table.
 func NewTable() *Table {
-	return &Table{Targets: map[string]*Target{}, byModel: map[string][]*Target{}, byName: map[string][]*Target{}}
+	return &Table{Targets: map[string]*Target{}, byModel: map[string][]*Target{}, byService: map[string][]*Target{}}
 }
 
-// Put adds a target or takes the platform's newer view of it in. A target
-// that was seen leaving stays so, whatever an older list says afterwards.
+// Put adds a target or updates it from the platform's list. A target that was
+// listed as leaving stays so, even if an older list arrives afterwards. A target
+// with a new address replaces the old one.
 func (t *Table) Put(row *Target, now time.Duration) {
 	old := t.Targets[row.Name]
 	if old == nil || old.Address != row.Address {
-		row.Seen = now
+		row.LastListed = now
 		t.Targets[row.Name] = row
-		t.index()
+		t.rebuildIndexes()
 		return
 	}
-	old.Seen = now
+	old.LastListed = now
 	if row.Listed == Leaving {
 		old.Listed = Leaving
 	}
-	if !sameWords(old.Models, row.Models) || old.Service != row.Service {
+	if !equalStrings(old.Models, row.Models) || old.Service != row.Service {
 		old.Models, old.Service = row.Models, row.Service
-		t.index()
+		t.rebuildIndexes()
 	}
 }
 
-// Forget removes a target that the list no longer names and that has no
-// request of this box.
+// Forget removes a target that the platform no longer lists. One that still has
+// requests of this box is marked as leaving instead.
 func (t *Table) Forget(name string) {
 	if old := t.Targets[name]; old != nil && old.InFlight == 0 {
 		delete(t.Targets, name)
-		t.index()
+		t.rebuildIndexes()
 		return
 	}
 	if old := t.Targets[name]; old != nil {
@@ -176,22 +180,23 @@
 	}
 }
 
-// index rebuilds the lists by model and service; targets change rarely.
-func (t *Table) index() {
-	t.byModel, t.byName = map[string][]*Target{}, map[string][]*Target{}
+// rebuildIndexes rebuilds the indexes by model and service. It starts from scratch each time,
+// since targets change rarely.
+func (t *Table) rebuildIndexes() {
+	t.byModel, t.byService = map[string][]*Target{}, map[string][]*Target{}
 	for _, name := range sortedNames(t.Targets) {
 		row := t.Targets[name]
 		for _, m := range row.Models {
 			t.byModel[m] = append(t.byModel[m], row)
 		}
 		if row.Kind == Service {
-			t.byName[row.Service] = append(t.byName[row.Service], row)
+			t.byService[row.Service] = append(t.byService[row.Service], row)
 		}
 	}
 }
 
-// ForModel returns the engines that have a model.
+// ForModel returns the targets that serve a model.
 func (t *Table) ForModel(model string) []*Target { return t.byModel[model] }
 
-// ForService returns the servers of a plain service.
-func (t *Table) ForService(service string) []*Target { return t.byName[service] }
+// ForService returns the targets that serve a plain service.
+func (t *Table) ForService(service string) []*Target { return t.byService[service] }
--- a/models/target/target_test.go
+++ b/models/target/target_test.go
@@ -17,8 +17,8 @@
 	return &Target{Name: name, Address: name, Kind: Engine, Models: []string{"m"}, DataCentre: dc, Listed: Live}
 }
 
-// TestEligibility says which of two candidates is taken, for what is known of
-// the first; "second" stands in another data centre.
+// TestEligibility checks which of two candidates is chosen, depending on the state
+// of the first; the second is in another data centre.
 func TestEligibility(t *testing.T) {
 	tests := map[string]struct {
 		prepare     func(first *Target)
@@ -27,17 +27,17 @@
 		reason      Reason
 		waitable    bool
 	}{
-		"sound":                           {func(*Target) {}, false, "first", Eligible, false},
-		"leaving":                         {func(f *Target) { f.Listed = Leaving }, false, "second", IsLeaving, false},
-		"drained":                         {func(f *Target) { f.Drained = true }, false, "second", IsDrained, false},
+		"healthy":                         {func(*Target) {}, false, "first", Eligible, false},
+		"leaving":                         {func(f *Target) { f.Listed = Leaving }, false, "second", ReasonLeaving, false},
+		"drained":                         {func(f *Target) { f.Drained = true }, false, "second", ReasonDrained, false},
 		"two failures":                    {func(f *Target) { fail(f, 2) }, false, "first", Eligible, false},
-		"three failures":                  {func(f *Target) { fail(f, 3) }, false, "second", IsEjected, false},
-		"full":                            {func(f *Target) { f.InFlight = 4 }, true, "", IsFull, true},
-		"full but for interactive":        {func(f *Target) { f.InFlight = 3 }, false, "", IsFull, true},
-		"free for interactive":            {func(f *Target) { f.InFlight = 3 }, true, "first", Eligible, false},
-		"full by others' load":            {func(f *Target) { f.Report(9, 0, 0) }, true, "", IsFull, true},
-		"own load of a late report":       {func(f *Target) { f.InFlight = 3; f.Report(3, 0, 0); f.InFlight = 0 }, false, "first", Eligible, false},
-		"others' load and own since then": {func(f *Target) { f.Report(5, 0, 0); f.InFlight = 3 }, true, "", IsFull, true},
+		"three failures":                  {func(f *Target) { fail(f, 3) }, false, "second", ReasonEjected, false},
+		"full":                            {func(f *Target) { f.InFlight = 4 }, true, "", ReasonFull, true},
+		"only interactive slots free":     {func(f *Target) { f.InFlight = 3 }, false, "", ReasonFull, true},
+		"interactive slot free":           {func(f *Target) { f.InFlight = 3 }, true, "first", Eligible, false},
+		"full with requests of others":    {func(f *Target) { f.Report(9, 0, 0) }, true, "", ReasonFull, true},
+		"report counts own ended ones":    {func(f *Target) { f.InFlight = 3; f.Report(3, 0, 0); f.InFlight = 0 }, false, "first", Eligible, false},
+		"full with others' and later own": {func(f *Target) { f.Report(5, 0, 0); f.InFlight = 3 }, true, "", ReasonFull, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -49,7 +49,7 @@
 				got = d.Target.Name
 			}
 			if got != test.want || d.Scores[0].Reason != test.reason || d.Waitable != test.waitable {
-				t.Errorf("got %q, first is %q, waitable %v", got, d.Scores[0].Reason, d.Waitable)
+				t.Errorf("chose %q; first candidate is %q, waitable is %v", got, d.Scores[0].Reason, d.Waitable)
 			}
 		})
 	}
@@ -64,21 +64,21 @@
 func TestEjectionProbesOnceAndBacksOff(t *testing.T) {
 	e := engine("e", "here")
 	fail(e, 3)
-	now := time.Second + firstPause
+	now := time.Second + minPause
 	if e.Health.Ejected(now) {
-		t.Fatal("no probe after the pause")
+		t.Fatal("ejected target is not probed after the pause")
 	}
 	e.Begin(1)
 	if !e.Health.Ejected(now) {
-		t.Fatal("a second request before the probe ended")
+		t.Fatal("target is eligible for a second request while the probe runs")
 	}
 	e.Health.Fail(now)
-	if !e.Health.Ejected(now+firstPause) || e.Health.Ejected(now+2*firstPause) {
-		t.Error("the second pause is not twice the first")
+	if !e.Health.Ejected(now+minPause) || e.Health.Ejected(now+2*minPause) {
+		t.Error("second pause is not twice the first")
 	}
 	e.Health.Succeed()
 	if e.Health.Ejected(now) {
-		t.Error("a sound answer does not end the ejection")
+		t.Error("target is still ejected after a valid answer")
 	}
 }
 
@@ -93,24 +93,24 @@
 	put(Leaving)
 	put(Live)
 	if table.Targets["e"].Listed != Leaving {
-		t.Error("an older list brought a leaving target back")
+		t.Error("leaving target is live again after an older list")
 	}
 	table.Forget("e")
 	put(Live)
 	if table.Targets["e"].Listed != Live {
-		t.Error("a target that was gone and came back is not live")
+		t.Error("removed target is not live after it was listed again")
 	}
 	table.Targets["e"].InFlight = 1
 	table.Forget("e")
 	if table.Targets["e"] == nil || table.Targets["e"].Listed != Leaving {
-		t.Error("a target with work in progress was dropped")
+		t.Error("target with a request in flight was removed or is not leaving")
 	}
 }
 
-// TestCacheEvidence says how many tokens count as reusable.
-func TestCacheEvidence(t *testing.T) {
+// TestReusableTokens checks how many tokens count as reusable after cache events.
+func TestReusableTokens(t *testing.T) {
 	prompt := strings.Repeat("p", 4*BlockBytes)
-	mine := Blocks("scope-a", "m", prompt)
+	stored := Blocks("scope-a", "m", prompt)
 	insert := func(first uint64, blocks ...Block) []CacheEvent {
 		var events []CacheEvent
 		for i, b := range blocks {
@@ -119,31 +119,31 @@
 		return events
 	}
 	tests := map[string]struct {
-		feed func(c *Cache)
-		at   time.Duration
-		want int
+		apply func(c *Cache)
+		at    time.Duration
+		want  int
 	}{
-		"nothing known":        {func(*Cache) {}, 0, 0},
-		"all blocks":           {func(c *Cache) { c.Take("e", insert(1, mine...), 0) }, 0, 4},
+		"no events":            {func(*Cache) {}, 0, 0},
+		"all blocks":           {func(c *Cache) { c.Take("e", insert(1, stored...), 0) }, 0, 4},
 		"another organisation": {func(c *Cache) { c.Take("e", insert(1, Blocks("scope-b", "m", prompt)...), 0) }, 0, 0},
 		"another model":        {func(c *Cache) { c.Take("e", insert(1, Blocks("scope-a", "n", prompt)...), 0) }, 0, 0},
-		"a hole in the prefix": {func(c *Cache) { c.Take("e", insert(1, mine[0], mine[2], mine[3]), 0) }, 0, 1},
+		"missing block":        {func(c *Cache) { c.Take("e", insert(1, stored[0], stored[2], stored[3]), 0) }, 0, 1},
 		"evicted": {func(c *Cache) {
-			c.Take("e", append(insert(1, mine...), CacheEvent{Sequence: 5, Evicted: true, Block: mine[1]}), 0)
+			c.Take("e", append(insert(1, stored...), CacheEvent{Sequence: 5, Evicted: true, Block: stored[1]}), 0)
 		}, 0, 1},
 		"older sequence": {func(c *Cache) {
-			c.Take("e", insert(1, mine[0], mine[1]), 0)
-			c.Take("e", []CacheEvent{{Sequence: 1, Evicted: true, Block: mine[0]}}, 0)
+			c.Take("e", insert(1, stored[0], stored[1]), 0)
+			c.Take("e", []CacheEvent{{Sequence: 1, Evicted: true, Block: stored[0]}}, 0)
 		}, 0, 2},
-		"another epoch": {func(c *Cache) { c.Take("e", insert(1, mine...), 0); c.Take("f", insert(1, mine[0]), 0) }, 0, 1},
-		"too old":       {func(c *Cache) { c.Take("e", insert(1, mine...), 0) }, freshness + 1, 0},
-		"a gap":         {func(c *Cache) { c.Take("e", insert(1, mine[0]), 0); c.Take("e", insert(9, mine[1]), 0) }, 0, 2},
+		"another epoch": {func(c *Cache) { c.Take("e", insert(1, stored...), 0); c.Take("f", insert(1, stored[0]), 0) }, 0, 1},
+		"outdated":      {func(c *Cache) { c.Take("e", insert(1, stored...), 0) }, maxCacheAge + 1, 0},
+		"sequence gap":  {func(c *Cache) { c.Take("e", insert(1, stored[0]), 0); c.Take("e", insert(9, stored[1]), 0) }, 0, 2},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			var c Cache
-			test.feed(&c)
-			if got := c.Reusable(mine, test.at); got != test.want*blockTokens {
+			test.apply(&c)
+			if got := c.Reusable(stored, test.at); got != test.want*blockTokens {
 				t.Errorf("got %d tokens, want %d", got, test.want*blockTokens)
 			}
 		})
