--- a/models/spread/health.go
+++ b/models/spread/health.go
@@ -8,130 +8,133 @@
 	"time"
 )
 
-// What calls show of a target takes it out for a time: it can't be reached, it fails far more
-// than others, or another one has its address.
+// A target is banned for a time if it can't be reached or fails far more calls than
+// the others (an outlier), and for good if another target has its address.
 const (
-	// firstBan and longestBan bound the time that an unreachable target is out,
-	// and so the time until it is used again once a cut has ended.
-	firstBan   = 500 * time.Millisecond
-	longestBan = 2 * time.Second
-	// sickBan is how long a target is out that fails calls and can be reached.
-	sickBan = 3 * time.Second
-	// sickCalls is how many calls must have ended before a target counts as sick.
-	sickCalls = 6
-	// sickRate and sickMargin say when: its rate of failures lies above both.
-	sickRate   = 0.3
-	sickMargin = 0.2
-	// outcomeWeight is the weight of a new outcome in the rate of failures.
+	// minBan and maxBan bound the ban of an unreachable target, and so the time
+	// until it is used again after a network partition.
+	minBan = 500 * time.Millisecond
+	maxBan = 2 * time.Second
+	// outlierBan is the ban of an outlier, which fails calls but can be reached.
+	outlierBan = 3 * time.Second
+	// outlierMinCalls is how many calls must have ended before a target can be an outlier.
+	outlierMinCalls = 6
+	// outlierFailureRate is the failure rate that an outlier exceeds, and outlierMargin
+	// by how much it exceeds the mean rate of the others.
+	outlierFailureRate = 0.3
+	outlierMargin      = 0.2
+	// outcomeWeight is the weight of a new outcome in the moving average of the failure
+	// rate.
 	outcomeWeight = 0.12
-	// sickShare is the part of a service's targets that may be out as sick.
-	sickShare = 0.34
+	// maxOutlierShare is the share of a service's targets that may be banned as outliers at
+	// a time.
+	maxOutlierShare = 0.34
 )
 
-// Unreached takes a target out that could not be reached, and returns for how
-// long. Calls that fail while it is out already were sent before and count no
-// more.
+// Unreached bans a target that could not be reached and returns the length of the
+// ban. It returns zero for a target that is already banned: that call was sent before
+// the ban, and does not lengthen it.
 func (tb *Table) Unreached(t *Target, now time.Duration) time.Duration {
-	if t.failures > 0 && t.bannedTo > now {
+	if t.unreachableBans > 0 && t.bannedUntil > now {
 		return 0
 	}
-	ban := min(longestBan, firstBan<<min(t.failures, 6))
-	t.failures++
-	t.bannedTo = max(t.bannedTo, now+ban)
+	ban := min(maxBan, minBan<<min(t.unreachableBans, 6))
+	t.unreachableBans++
+	t.bannedUntil = max(t.bannedUntil, now+ban)
 	return ban
 }
 
-// Replaced takes a target out for good, since another one has its address, and
-// tells whether that is news.
+// Replaced bans a target for good because another one has its address. It reports
+// whether this was not known before.
 func (tb *Table) Replaced(t *Target) bool {
-	news := !t.replaced
+	first := !t.replaced
 	t.replaced = true
-	return news
+	return first
 }
 
-// Reached brings a target back that can be reached again.
+// Reached ends the ban of a target that can be reached again, unless it is an outlier.
 func (tb *Table) Reached(t *Target) {
-	if t.failures == 0 {
+	if t.unreachableBans == 0 {
 		return
 	}
-	t.failures = 0
-	if !t.sick {
-		t.bannedTo = 0
+	t.unreachableBans = 0
+	if !t.outlier {
+		t.bannedUntil = 0
 	}
 }
 
-// Ended takes the outcome of a call in that reached its target, and tells
-// whether the target was taken out for failing too many.
+// Ended records the outcome of a call that reached its target. It reports whether the
+// target has now been banned as an outlier.
 func (tb *Table) Ended(t *Target, failed bool, now time.Duration) bool {
 	outcome := 0.0
 	if failed {
 		outcome = 1
 	}
-	t.outcomes++
-	t.failRate += max(outcomeWeight, 1/t.outcomes) * (outcome - t.failRate)
-	if t.sick && t.bannedTo <= now {
-		t.sick = false
+	t.outcomeCount++
+	t.failureRate += max(outcomeWeight, 1/t.outcomeCount) * (outcome - t.failureRate)
+	if t.outlier && t.bannedUntil <= now {
+		t.outlier = false
 	}
-	if !failed || t.sick || t.outcomes < sickCalls || !tb.sicker(t) {
+	if !failed || t.outlier || t.outcomeCount < outlierMinCalls || !tb.isOutlier(t) {
 		return false
 	}
-	t.sick = true
-	t.bannedTo = max(t.bannedTo, now+sickBan)
-	// It comes back with few marks, so that a few good calls clear it.
-	t.outcomes, t.failRate = 0, 0
+	t.outlier = true
+	t.bannedUntil = max(t.bannedUntil, now+outlierBan)
+	// The record starts anew, so that a few successful calls suffice after the ban.
+	t.outcomeCount, t.failureRate = 0, 0
 	return true
 }
 
-// sicker tells whether a target fails far more than the others of its service,
-// and few enough of these are out.
-func (tb *Table) sicker(t *Target) bool {
+// isOutlier reports whether a target fails far more calls than the others of its service
+// while few enough of these are banned as outliers.
+func (tb *Table) isOutlier(t *Target) bool {
 	list := tb.services[t.Service]
-	sum, out := 0.0, 1
+	sum, outliers := 0.0, 1
 	for _, other := range list {
 		if other == t {
 			continue
 		}
-		sum += other.failRate
-		if other.sick {
-			out++
+		sum += other.failureRate
+		if other.outlier {
+			outliers++
 		}
 	}
-	if len(list) < 2 || float64(out) > math.Ceil(sickShare*float64(len(list))) {
+	if len(list) < 2 || float64(outliers) > math.Ceil(maxOutlierShare*float64(len(list))) {
 		return false
 	}
 	mean := sum / float64(len(list)-1)
-	return t.failRate > sickRate && t.failRate > mean+sickMargin
+	return t.failureRate > outlierFailureRate && t.failureRate > mean+outlierMargin
 }
 
-// Banned lists the targets that are out because they could not be reached and
-// whose time is over at the moment given, for a trial.
+// Banned returns the unreachable targets whose ban has ended at now. They are due for
+// a probe.
 func (tb *Table) Banned(now time.Duration) []*Target {
 	var due []*Target
 	for _, t := range tb.byID {
-		if t.failures > 0 && t.bannedTo <= now && !t.replaced {
+		if t.unreachableBans > 0 && t.bannedUntil <= now && !t.replaced {
 			due = append(due, t)
 		}
 	}
 	return due
 }
 
-// Fate is what is known of how a target ended.
+// Fate says whether and how a target has ended.
 type Fate int
 
 const (
-	// FateUnknown is that of a target that runs as far as is known.
+	// FateUnknown means that the target is still running as far as is known.
 	FateUnknown Fate = iota
-	// FateLeft is that of one that ends as planned.
+	// FateLeft means that the target announced its end.
 	FateLeft
-	// FateReplaced is that of one whose id or address another start has now,
-	// though it has not said that it leaves.
+	// FateReplaced means that another start has the target's id or address, although
+	// the target has not announced its end.
 	FateReplaced
 )
 
-// FateOf returns what is known of how a target ended.
+// FateOf returns what is known of a target's end.
 func (tb *Table) FateOf(t *Target) Fate {
 	switch {
-	case t.left:
+	case t.hasLeft:
 		return FateLeft
 	case t.replaced:
 		return FateReplaced
@@ -140,12 +143,12 @@
 	case tb.byID[t.ID] != nil || tb.hasAddress(t.Address):
 		return FateReplaced
 	default:
-		// It has told control that it is gone.
+		// The target has deregistered.
 		return FateLeft
 	}
 }
 
-// hasAddress tells whether any target has an address; it looks at all of them.
+// hasAddress reports whether any target has the address. It scans all targets.
 func (tb *Table) hasAddress(address string) bool {
 	for _, t := range tb.byID {
 		if t.Address == address {
--- a/models/spread/limits.go
+++ b/models/spread/limits.go
@@ -10,67 +10,70 @@
 	"havenwinch.dev/havenwinch/models/rate"
 )
 
-// A target may name how many requests a second it takes from all boxes together.
-// This box then has a part of them (package rate), whatever goes there: the table
-// offers such a target for a call only while the part is not used up, and each
-// request that leaves asks it again.
+// A target may state how many requests a second it accepts from all boxes together.
+// Package rate allots this box a share, which covers every kind of request. Choose
+// offers such a target only while the share is not used up, and Take checks again for
+// each request that is sent.
 
 const (
-	// newsChange is by what part a limit must have changed to be told to others:
-	// one that changes with every answer would else be told as often.
-	newsChange = 0.2
-	// scarceMemory is how long a call that was refused for want of what targets take
-	// counts: those that are less urgent leave the first part of each window to its
-	// kind, and callers come back spread over the time that all need.
-	scarceMemory = 2 * time.Second
-	// comeBackLeast and comeBackMost bound the time over which they are spread. A
-	// caller follows no longer time than a third of what it has left.
-	comeBackLeast = 300 * time.Millisecond
-	comeBackMost  = 10 * time.Second
+	// significantChange is the relative change from which on a limit is announced to other
+	// boxes. A limit that changes with every answer would otherwise be announced as
+	// often.
+	significantChange = 0.2
+	// refusalDecay is the time constant with which refused calls are forgotten. While
+	// one counts, less urgent calls leave the first half of each window to calls of
+	// its rank, and retries are spread over the time that all refused calls need.
+	refusalDecay = 2 * time.Second
+	// minRetrySpread and maxRetrySpread bound the time over which retries are spread. A
+	// caller never waits longer than a third of the time it has left.
+	minRetrySpread = 300 * time.Millisecond
+	maxRetrySpread = 10 * time.Second
 )
 
-// scarcity is what a service's callers lack while all its targets name limits.
-type scarcity struct {
-	// refused counts this box's calls that were refused for it, decayed over
-	// scarceMemory; updated is when it last was.
+// limitPressure tracks the calls of a service that find the shares of all targets used up.
+type limitPressure struct {
+	// refused counts this box's refused calls, decayed with refusalDecay as of
+	// updated.
 	refused float64
 	updated time.Duration
-	// waiting are this box's calls that wait for the next window.
+	// waiting counts this box's calls that wait for the next window.
 	waiting int64
-	// rank is the most urgent rank among them, seen when one last was refused.
-	rank uint32
-	seen time.Duration
+	// topRank is the most urgent rank among the refused calls, and topRankSeen when a call
+	// of that rank was last refused.
+	topRank     uint32
+	topRankSeen time.Duration
 }
 
-// Want is what becomes of a call whose service has no target that this box may send
-// to now, for what they take from all boxes.
+// Want says what to do with a call while the limits of all targets of its service keep
+// this box from sending.
 type Want struct {
-	// Wait is how long it waits for a place that will be there, zero when it is
-	// refused. Waited has to be called then.
+	// Wait is how long the call is to wait for a reserved place in the next window;
+	// Table.Waited must be called afterwards. Zero means that the call is refused.
 	Wait time.Duration
-	// It can come back after Earliest, and several such over the time Spread.
+	// A refused call may be retried after Earliest. Retries of several calls are to be
+	// spread over the time Spread after that.
 	Earliest, Spread time.Duration
 }
 
-// SetFleet takes in who sends, and the fleet's time.
+// SetFleet sets the boxes that share the limits, and the fleet's time.
 func (tb *Table) SetFleet(f rate.Fleet) { tb.fleet = f }
 
-// LimitOf returns the requests a second that a target gets from the fleet at
-// present, rate.None when it has no limit.
+// LimitOf returns how many requests a second all boxes together may send to a target
+// at now, rate.None if it has no limit.
 func (tb *Table) LimitOf(t *Target, now time.Duration) float64 { return t.limit.Now(now) }
 
-// Limited tells whether a target has a limit at present.
+// Limited reports whether a target has a limit at now.
 func (tb *Table) Limited(t *Target, now time.Duration) bool { return t.limit.Now(now) != rate.None }
 
-// open tells whether this box may send a request to a target now.
-func (tb *Table) open(t *Target, now time.Duration) bool {
+// sendable reports whether this box may send a request to a target at now.
+func (tb *Table) sendable(t *Target, now time.Duration) bool {
 	limit := t.limit.Now(now)
 	return limit == rate.None || t.meter.Open(tb.fleet, limit, t.hash, now)
 }
 
-// Take counts a request that leaves for a target, and tells whether it may. One that
-// is owed goes anyway, and is made up for: it continues a run that another target has
-// given up already.
+// Take counts a request that is about to be sent to a target and reports whether it
+// may be sent. An owed request is always sent, and is taken off the shares of later
+// windows: it continues a run that another target has already given up.
 func (tb *Table) Take(t *Target, owed bool, now time.Duration) bool {
 	limit := t.limit.Now(now)
 	switch {
@@ -84,157 +87,160 @@
 	return true
 }
 
-// Heard takes in what a target said to this box, and tells whether that is news for
-// other boxes.
+// Heard records a statement that a target made to this box. It reports whether the
+// limit has been queued for announcement to the other boxes.
 func (tb *Table) Heard(t *Target, s rate.Statement) (news bool) {
 	t.limit.Take(s)
 	if t.limit.Said != s {
 		return false
 	}
-	t.heard = s
-	return tb.tell(t)
+	t.ownStatement = s
+	return tb.queueAnnouncement(t)
 }
 
-// Learned takes in what a target said to another box, and tells whether a limit holds
-// then that differs from the one before.
+// Learned records a statement that a target made to another box. It returns the
+// target, nil if that start is not known, and reports whether its limit has changed
+// significantly.
 func (tb *Table) Learned(id string, born int64, service string, s rate.Statement) (t *Target, changed bool) {
 	t = tb.byID[id]
 	if t == nil || t.Born != born || t.Service != service {
 		return nil, false
 	}
 	before := t.limit.Said.Limit
-	t.known, t.told = true, s.Limit
-	changed = t.limit.Take(s) && isNews(before, t.limit.Said.Limit)
-	if t.heard == t.limit.Said {
-		tb.tell(t)
+	t.isPeerLimitKnown, t.peerLimit = true, s.Limit
+	changed = t.limit.Take(s) && isSignificantChange(before, t.limit.Said.Limit)
+	if t.ownStatement == t.limit.Said {
+		tb.queueAnnouncement(t)
 	}
 	return t, changed
 }
 
-// tell notes that other boxes should hear of a target's limit, unless they know it or
-// are to hear of it already.
-func (tb *Table) tell(t *Target) bool {
+// queueAnnouncement queues a target's limit for announcement, unless the other boxes
+// know it or it is queued already. It reports whether it was queued.
+func (tb *Table) queueAnnouncement(t *Target) bool {
 	limit := t.limit.Said.Limit
-	t.named = t.named || limit != rate.None
-	news := t.named
-	if t.known {
-		news = isNews(t.told, limit)
+	t.hasStatedLimit = t.hasStatedLimit || limit != rate.None
+	news := t.hasStatedLimit
+	if t.isPeerLimitKnown {
+		news = isSignificantChange(t.peerLimit, limit)
 	}
-	if t.untold || !news {
+	if t.unannounced || !news {
 		return false
 	}
-	t.untold = true
-	tb.untold = append(tb.untold, t)
+	t.unannounced = true
+	tb.unannounced = append(tb.unannounced, t)
 	return true
 }
 
-// isNews tells whether a limit differs enough from the one that was known.
-func isNews(known, limit float64) bool {
+// isSignificantChange reports whether a limit differs from the known one by more than
+// significantChange.
+func isSignificantChange(known, limit float64) bool {
 	if known == rate.None || limit == rate.None {
 		return known != limit
 	}
-	return math.Abs(limit-known) > newsChange*known
+	return math.Abs(limit-known) > significantChange*known
 }
 
-// Untold tells whether others should hear of limits.
-func (tb *Table) Untold() bool { return len(tb.untold) > 0 }
+// Untold reports whether limits are queued for announcement to the other boxes.
+func (tb *Table) Untold() bool { return len(tb.unannounced) > 0 }
 
-// TellLimits returns up to a number of targets with limits that others should hear
-// of, those that wait longest first.
+// TellLimits removes up to most targets from the announcement queue and returns them,
+// oldest first. Their limits count as known to the other boxes from then on.
 func (tb *Table) TellLimits(most int) []*Target {
-	n := min(most, len(tb.untold))
-	list := tb.untold[:n:n]
-	tb.untold = tb.untold[n:]
+	n := min(most, len(tb.unannounced))
+	list := tb.unannounced[:n:n]
+	tb.unannounced = tb.unannounced[n:]
 	for _, t := range list {
-		t.untold = false
-		t.known, t.told = true, t.limit.Said.Limit
+		t.unannounced = false
+		t.isPeerLimitKnown, t.peerLimit = true, t.limit.Said.Limit
 	}
 	return list
 }
 
-// TellAgain notes that others have not heard of targets' limits after all.
+// TellAgain queues targets again whose announcement has failed.
 func (tb *Table) TellAgain(list []*Target) {
 	for _, t := range list {
-		t.known = false
-		tb.tell(t)
+		t.isPeerLimitKnown = false
+		tb.queueAnnouncement(t)
 	}
 }
 
-// TellAll notes that others know of no limits: what this box has heard itself is told
-// again.
+// TellAll queues all limits that targets have stated to this box itself, for the case
+// that the other boxes know of none.
 func (tb *Table) TellAll() {
 	for _, t := range tb.byID {
-		if t.heard != (rate.Statement{}) {
-			t.known = false
-			tb.tell(t)
+		if t.ownStatement != (rate.Statement{}) {
+			t.isPeerLimitKnown = false
+			tb.queueAnnouncement(t)
 		}
 	}
 }
 
-// Said returns what the target said to this box or another one last.
+// Said returns the target's statement in force, made to this box or another one.
 func (t *Target) Said() rate.Statement { return t.limit.Said }
 
-// mayTakeScarce tells whether a call may use what little the targets of a service
-// take: while more urgent ones are refused, others wait for the second half of each
-// window.
-func (tb *Table) mayTakeScarce(need Need, now time.Duration) bool {
-	s := tb.scarce[need.Service]
-	if s == nil || need.Rank <= s.rank || now-s.seen > scarceMemory {
+// mayUseLimited reports whether a call may be sent to targets with limits if there are
+// no others. While more urgent calls are refused, it may be only in the second half of
+// each window.
+func (tb *Table) mayUseLimited(need Need, now time.Duration) bool {
+	s := tb.pressure[need.Service]
+	if s == nil || need.Rank <= s.topRank || now-s.topRankSeen > refusalDecay {
 		return true
 	}
 	at, length := tb.fleet.Phase(now)
 	return at >= length/2
 }
 
-// Shut tells whether this box may send to no target of a call's service now, and what
-// becomes of the call then.
+// Shut reports whether limits keep this box from sending to any target of a call's
+// service now, and if so what to do with the call.
 func (tb *Table) Shut(need Need, now time.Duration) (Want, bool) {
 	for _, t := range tb.services[need.Service] {
-		if tb.usable(t, need) && t.bannedTo <= now && !tb.Limited(t, now) {
+		if tb.isUsable(t, need) && t.bannedUntil <= now && !tb.Limited(t, now) {
 			return Want{}, false
 		}
 	}
 	found := tb.candidates(need, now)
-	if len(found.open) > 0 || len(found.closed) == 0 {
+	if len(found.sendable) > 0 || len(found.exhausted) == 0 {
 		return Want{}, false
 	}
-	return tb.want(need, found.closed, now), true
+	return tb.waitOrRefuse(need, found.exhausted, now), true
 }
 
-// want decides on a call whose service has no target that this box may send to now. It
-// waits for the next window where that is soon and has room for it beside those that
-// wait already; else it is refused, with a time to come back.
-func (tb *Table) want(need Need, closed []*Target, now time.Duration) (w Want) {
-	s := tb.scarce[need.Service]
+// waitOrRefuse decides what to do with a call that can't be sent now because of limits. The
+// call waits for the next window if that begins within its patience and has a place
+// left beside the calls that are waiting already. Otherwise it is refused, with a time
+// to retry.
+func (tb *Table) waitOrRefuse(need Need, exhausted []*Target, now time.Duration) (w Want) {
+	s := tb.pressure[need.Service]
 	if s == nil {
-		s = &scarcity{}
-		tb.scarce[need.Service] = s
+		s = &limitPressure{}
+		tb.pressure[need.Service] = s
 	}
-	opens, part := tb.opens(closed, now)
+	opens, part := tb.nextShare(exhausted, now)
 	if part > s.waiting && opens-now <= need.Patience {
 		s.waiting++
 		return Want{Wait: opens - now}
 	}
-	s.refused = s.refused*math.Exp(-float64(now-s.updated)/float64(scarceMemory)) + 1
+	s.refused = s.refused*math.Exp(-float64(now-s.updated)/float64(refusalDecay)) + 1
 	s.updated = now
-	if need.Rank <= s.rank || now-s.seen > scarceMemory {
-		s.rank, s.seen = need.Rank, now
+	if need.Rank <= s.topRank || now-s.topRankSeen > refusalDecay {
+		s.topRank, s.topRankSeen = need.Rank, now
 	}
 	taken := 0.0
-	for _, t := range closed {
+	for _, t := range exhausted {
 		taken += t.limit.Now(now)
 	}
 	wait := s.refused * float64(max(1, need.Boxes)) / max(rate.Least, taken)
 	at, length := tb.fleet.Phase(now)
 	w.Earliest = length - at
-	w.Spread = max(comeBackLeast, time.Duration(min(wait, comeBackMost.Seconds())*float64(time.Second)))
+	w.Spread = max(minRetrySpread, time.Duration(min(wait, maxRetrySpread.Seconds())*float64(time.Second)))
 	return w
 }
 
-// opens returns when some of the targets next take requests of this box, and how many
-// then.
-func (tb *Table) opens(closed []*Target, now time.Duration) (at time.Duration, part int64) {
-	for _, t := range closed {
+// nextShare returns when the shares of some of the targets are next renewed, and how many
+// requests this box may then send to these.
+func (tb *Table) nextShare(exhausted []*Target, now time.Duration) (at time.Duration, part int64) {
+	for _, t := range exhausted {
 		begins, own := t.meter.Next(tb.fleet, t.limit.Now(now), t.hash, now)
 		switch {
 		case own == 0 || part > 0 && begins > at:
@@ -247,5 +253,5 @@
 	return at, part
 }
 
-// Waited notes that a call has waited for the next window of its service's targets.
-func (tb *Table) Waited(service string) { tb.scarce[service].waiting-- }
+// Waited records that a call has ended its wait for the next window (Want.Wait).
+func (tb *Table) Waited(service string) { tb.pressure[service].waiting-- }
--- a/models/spread/limits_test.go
+++ b/models/spread/limits_test.go
@@ -12,11 +12,11 @@
 	"havenwinch.dev/havenwinch/models/rate"
 )
 
-// limitsStart is a moment at which a window begins.
+// limitsStart is the beginning of a window.
 const limitsStart = 1000 * time.Second
 
-// newLimitedTable returns the table of the first of some boxes, with targets that have
-// named a limit.
+// newLimitedTable returns the table of the first of the boxes, with targets that have
+// stated a limit (none if perSecond is rate.None).
 func newLimitedTable(boxes, targets int, perSecond float64) *Table {
 	tb := NewTable("dc")
 	var names []string
@@ -35,47 +35,49 @@
 	return tb
 }
 
-// send places a call and sends it, if there is a target.
+// send chooses a target for a call and counts the request, and reports whether it may
+// be sent.
 func send(tb *Table, need Need, now time.Duration) (Choice, bool) {
 	c := tb.Choose(need, now)
 	return c, c.Target != nil && tb.Take(c.Target, false, now)
 }
 
-// While the targets of a service take less than comes, those that are most urgent have
-// the first half of each window, and what they leave goes to the others.
+// While the limits of a service's targets are used up, the most urgent calls have the
+// first half of each window to themselves, and other calls get what is left.
 func TestUrgentCallsComeFirst(t *testing.T) {
 	tb := newLimitedTable(1, 1, 4)
 	urgent, later := Need{Service: "s", Rank: 1}, Need{Service: "s", Rank: 4}
 	for n := range 2 {
 		if _, ok := send(tb, later, limitsStart); !ok {
-			t.Fatalf("call %d was not sent, though nobody more urgent lacks anything", n)
+			t.Fatalf("call %d was not sent, though no more urgent call was refused", n)
 		}
 	}
 	if c, ok := send(tb, urgent, limitsStart); ok || c.Limited != 1 || c.Want.Wait != 0 {
-		t.Fatalf("a third call in the window: %+v", c)
+		t.Fatalf("third call in the window was not refused: %+v", c)
 	}
 	next := limitsStart + 500*time.Millisecond
 	if _, ok := send(tb, later, next); ok {
-		t.Fatal("a less urgent call came first")
+		t.Fatal("less urgent call was sent in the first half of the window")
 	}
 	if _, ok := send(tb, urgent, next); !ok {
-		t.Fatal("the urgent call was not sent")
+		t.Fatal("urgent call was not sent")
 	}
 	if _, ok := send(tb, later, next+250*time.Millisecond); !ok {
-		t.Fatal("what the urgent calls left was not used")
+		t.Fatal("less urgent call was not sent in the second half of the window")
 	}
 	if _, ok := send(tb, later, next+3*time.Second); !ok {
-		t.Fatal("calls were held back long after an urgent one was refused")
+		t.Fatal("less urgent call was not sent long after an urgent one was refused")
 	}
 }
 
-// A call waits for the next window only while that has room for all that wait.
+// A call waits for the next window only if that has a place for it beside the calls
+// that are already waiting.
 func TestCallsWaitForRoomThatIsThere(t *testing.T) {
 	tb := newLimitedTable(1, 2, 4)
 	need := Need{Service: "s", Patience: 600 * time.Millisecond}
 	for range 4 {
 		if _, ok := send(tb, need, limitsStart); !ok {
-			t.Fatal("not sent")
+			t.Fatal("call within the limit was not sent")
 		}
 	}
 	now := limitsStart + 100*time.Millisecond
@@ -85,26 +87,27 @@
 		switch {
 		case c.Want.Wait == 400*time.Millisecond:
 			waiting++
-		case c.Want.Earliest > 0 && c.Want.Spread >= comeBackLeast:
+		case c.Want.Earliest > 0 && c.Want.Spread >= minRetrySpread:
 			refused++
 		}
 	}
 	if waiting != 4 || refused != 2 {
-		t.Fatalf("%d wait, %d are refused", waiting, refused)
+		t.Fatalf("%d calls wait and %d are refused, want 4 and 2", waiting, refused)
 	}
 	for range waiting {
 		tb.Waited("s")
 		if _, ok := send(tb, need, limitsStart+500*time.Millisecond); !ok {
-			t.Fatal("a call that waited was not sent")
+			t.Fatal("call was not sent after its wait")
 		}
 	}
 	impatient := Need{Service: "s", Patience: 100 * time.Millisecond}
 	if c, _ := send(tb, impatient, limitsStart+600*time.Millisecond); c.Want.Wait != 0 {
-		t.Fatal("a call waits for longer than it may")
+		t.Fatal("call waits longer than its patience")
 	}
 }
 
-// The time to come back grows with what was refused, and is bounded.
+// The time over which retries are spread grows with the number of refused calls, up to
+// a bound.
 func TestComingBackIsSpread(t *testing.T) {
 	tb := newLimitedTable(6, 1, 1)
 	now := limitsStart
@@ -114,55 +117,56 @@
 		if c.Target != nil {
 			continue
 		}
-		if c.Want.Spread < last || c.Want.Spread > comeBackMost || c.Want.Earliest <= 0 {
-			t.Fatalf("refusal %d: %+v after %s", n, c.Want, last)
+		if c.Want.Spread < last || c.Want.Spread > maxRetrySpread || c.Want.Earliest <= 0 {
+			t.Fatalf("refusal %d: %+v, previous spread %s", n, c.Want, last)
 		}
 		last = c.Want.Spread
 	}
-	if last != comeBackMost {
-		t.Fatalf("spread over %s", last)
+	if last != maxRetrySpread {
+		t.Fatalf("spread is %s after 60 calls, want the maximum", last)
 	}
 }
 
-// Targets with limits read no long prompts apart: questions to them would use up what
-// they take, and which targets read would change from window to window.
-func TestLimitedTargetsDoNotReadApart(t *testing.T) {
+// Targets with limits are not dedicated to long prompts: querying their queues would
+// use up the limits, and the set of dedicated targets would change from window to
+// window.
+func TestLimitedTargetsAreNotDedicated(t *testing.T) {
 	tb := newLimitedTable(1, 6, rate.None)
-	r := tb.readsOf("s")
-	r.perToken, r.suffers = float64(time.Millisecond), true
+	r := tb.prefillOf("s")
+	r.perToken, r.streamsSuffer = float64(time.Millisecond), true
 	tb.SetFleetReading("s", 10*time.Second, limitsStart)
 	need := Need{Service: "s", Tokens: 4000, Pause: 100 * time.Millisecond}
 	first := tb.Choose(need, limitsStart)
 	if !first.Apart || len(first.Readers) != 2 {
-		t.Fatalf("%+v", first)
+		t.Fatalf("long prompt was placed as %+v", first)
 	}
 	for _, reader := range first.Readers {
 		tb.Heard(reader, rate.Statement{Limit: 5, Received: limitsStart})
 	}
 	for _, reader := range tb.Choose(need, limitsStart).Readers {
 		if tb.Limited(reader, limitsStart) {
-			t.Fatalf("%s has a limit and is asked to read", reader.ID)
+			t.Fatalf("%s has a limit and is dedicated to long prompts", reader.ID)
 		}
 	}
 }
 
-// What a target named holds for that start of it alone.
+// A limit applies only to the start of a target that has stated it.
 func TestALimitIsOfOneStart(t *testing.T) {
 	tb := newLimitedTable(1, 1, 1)
 	row := &statev1.RegisteredTarget{Id: "t0", Service: "s", Address: "10.0.0.1:0", DataCentre: "dc", State: statev1.RegisteredTarget_STATE_READY, Born: 7}
 	tb.Put(row)
 	if fresh := tb.services["s"][0]; tb.Limited(fresh, limitsStart) {
-		t.Fatal("another start has the limit")
+		t.Fatal("restarted target has the limit of the earlier start")
 	}
 	if tg, _ := tb.Learned("t0", 0, "s", rate.Statement{Limit: 1, Received: limitsStart}); tg != nil {
-		t.Fatal("a limit of the earlier start was taken for the later one's")
+		t.Fatal("limit of the earlier start was applied to the later one")
 	}
 	if tg, _ := tb.Learned("t0", 7, "other", rate.Statement{Limit: 1, Received: limitsStart}); tg != nil {
-		t.Fatal("a limit of another service's target with the same id was taken")
+		t.Fatal("limit was applied to a target of another service with the same id")
 	}
 }
 
-// A target whose limit has ended is used again step by step.
+// After the end of a limit the rate to the target is raised step by step.
 func TestALimitThatEndsIsLeftStepByStep(t *testing.T) {
 	tb := newLimitedTable(1, 1, 2)
 	tg := tb.services["s"][0]
@@ -172,16 +176,16 @@
 			continue
 		}
 		if got := tb.LimitOf(tg, limitsStart+after); got != want {
-			t.Errorf("after %s: %v a second, want %v", after, got, want)
+			t.Errorf("limit after %s is %v a second, want %v", after, got, want)
 		}
 	}
 	if got := tb.LimitOf(tg, limitsStart+8*time.Second); got != rate.None {
-		t.Errorf("after 8 s: %v a second", got)
+		t.Errorf("limit after 8 s is %v a second, want none", got)
 	}
 }
 
-// What the choice of a target costs with and without limits: 264 targets of a service
-// are those of one model at the size that is aimed at.
+// BenchmarkChooseLimited measures Choose with and without limits. 264 targets of a
+// service are those of one model at the intended size of the fleet.
 func BenchmarkChooseLimited(b *testing.B) {
 	for _, c := range []struct {
 		targets, boxes int
@@ -191,7 +195,7 @@
 			tb := newLimitedTable(c.boxes, c.targets, c.limit)
 			now := limitsStart
 			for b.Loop() {
-				// 5 calls a second of one box.
+				// One box sends 5 calls a second.
 				now += 200 * time.Millisecond
 				send(tb, Need{Service: "s", Affinity: 7, Boxes: c.boxes}, now)
 			}
--- /dev/null
+++ b/models/spread/prefill_test.go
@@ -0,0 +1,182 @@
+// Copyright 2026 The Havenwinch Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package spread
+
+import (
+	"testing"
+	"time"
+)
+
+const testPause = 500 * time.Millisecond
+
+// newSufferingTable returns a table of 12 targets that prefill 40 tokens in a millisecond, and
+// whose streams all suffer from long prompts.
+func newSufferingTable() *Table {
+	tb := newTestTable(12)
+	for range 20 {
+		tb.Read(tb.byID["t0"], 4000, 100*time.Millisecond)
+	}
+	recordStreams(tb, 1)
+	return tb
+}
+
+// recordStreams records 600 streams, of which one in every has too long a pause.
+func recordStreams(tb *Table, every int) {
+	for i := range 600 {
+		pause := testPause / 2
+		if i%every == 0 {
+			pause = 2 * testPause
+		}
+		tb.Streamed(tb.byID["t0"], pause, testPause)
+	}
+}
+
+// newSparedTable returns a table like that of newSufferingTable, but whose streams don't
+// suffer from long prompts.
+func newSparedTable() *Table {
+	tb := newSufferingTable()
+	recordStreams(tb, 1<<20)
+	return tb
+}
+
+func longPrompt(affinity uint64) Need {
+	return Need{Service: "s", Affinity: affinity, Tokens: 20000, Pause: testPause, Boxes: 7}
+}
+
+func TestLongPromptsGoToDedicatedTargets(t *testing.T) {
+	tb := newSufferingTable()
+	readers := map[string]bool{}
+	for key := uint64(1); key < 30; key++ {
+		c := tb.Choose(longPrompt(key), 0)
+		if !c.Apart || c.Home == nil || c.Home == c.Target {
+			t.Fatalf("long prompt was placed as %+v", c)
+		}
+		readers[c.Target.ID] = true
+	}
+	if len(readers) == 0 || len(readers) > 12/dedicatedDivisor {
+		t.Fatalf("long prompts went to %v, want at most a third of the targets", readers)
+	}
+	for key := uint64(1); key < 100; key++ {
+		short := Need{Service: "s", Affinity: key, Tokens: 600, Pause: testPause, Boxes: 7}
+		if c := tb.Choose(short, 0); c.Apart || readers[c.Target.ID] {
+			t.Fatalf("short prompt went to %s, which is dedicated to long ones", c.Target.ID)
+		}
+	}
+}
+
+func TestDedicatedTargetsAreReleasedWithoutLongPrompts(t *testing.T) {
+	tb := newSufferingTable()
+	tb.Choose(longPrompt(1), 0)
+	used := map[string]bool{}
+	for key := uint64(1); key < 300; key++ {
+		used[tb.Choose(Need{Service: "s", Affinity: key, Tokens: 600, Pause: testPause}, 100*loadDecay).Target.ID] = true
+	}
+	if len(used) != 12 {
+		t.Fatalf("only %d of 12 targets are used long after the last long prompt", len(used))
+	}
+}
+
+func TestNoDedicatedTargets(t *testing.T) {
+	tests := map[string]struct {
+		table *Table
+		need  Need
+	}{
+		"prefill speed unknown": {table: newTestTable(12), need: longPrompt(1)},
+		"no stream suffers":     {table: newSparedTable(), need: longPrompt(1)},
+		"short prompt":          {table: newSufferingTable(), need: Need{Service: "s", Tokens: 4000, Pause: testPause}},
+		"no bound on pauses":    {table: newSufferingTable(), need: Need{Service: "s", Tokens: 40000}},
+		"too few targets":       {table: newTestTable(dedicatedDivisor - 1), need: longPrompt(1)},
+	}
+	for name, test := range tests {
+		t.Run(name, func(t *testing.T) {
+			if c := test.table.Choose(test.need, 0); c.Target == nil || c.Apart {
+				t.Fatalf("prompt was placed as %+v", c)
+			}
+		})
+	}
+}
+
+func TestPrefillSpeedExcludesQueueing(t *testing.T) {
+	tb := newSufferingTable()
+	// Every other prompt takes ten times as long, as if it had been queued.
+	for i := range 200 {
+		first := 100 * time.Millisecond
+		if i%2 == 0 {
+			first *= 10
+		}
+		tb.Read(tb.byID["t0"], 4000, first)
+	}
+	if got := tb.prefillOf("s").prefillTime(4000); got < 60*time.Millisecond || got > 200*time.Millisecond {
+		t.Fatalf("expected prefill time of 4,000 tokens is %s", got)
+	}
+	before := tb.prefillOf("s").prefillTime(4000)
+	tb.Read(tb.byID["t0"], minSampleTokens-1, time.Hour)
+	tb.Read(tb.byID["t0"], 4000, -time.Second)
+	if tb.prefillOf("s").prefillTime(4000) != before {
+		t.Fatal("prefill speed changed with an unusable sample")
+	}
+}
+
+// All boxes dedicate as many targets to long prompts as the total load from control
+// calls for, and don't release one for a small decrease.
+func TestBoxesAgreeOnDedicatedTargets(t *testing.T) {
+	seconds := func(targets float64) time.Duration {
+		return time.Duration(targets * dedicatedUtilisation * float64(time.Second))
+	}
+	steps := []struct {
+		name    string
+		load    time.Duration
+		readers int
+	}{
+		{"load of one", seconds(0.9), 1},
+		{"load of three", seconds(2.5), 3},
+		{"small decrease", seconds(1.7), 3},
+		{"large decrease", seconds(1.5), 2},
+		{"more than a third of all", seconds(9), 4},
+		{"no load", 0, 0},
+	}
+	busy, idle := newSufferingTable(), newSufferingTable()
+	busy.Choose(longPrompt(1), 0)
+	for _, step := range steps {
+		for name, tb := range map[string]*Table{"busy": busy, "idle": idle} {
+			tb.SetFleetReading("s", step.load, time.Second)
+			if got := tb.prefillOf("s").dedicatedTargets(12, 7, time.Second); got != step.readers {
+				t.Errorf("%s, %s box: %d dedicated targets, want %d", step.name, name, got, step.readers)
+			}
+		}
+	}
+	if loads := busy.ReadingLoads(time.Second); loads["s"] == 0 {
+		t.Error("box with a long prompt reports no load")
+	}
+	if loads := idle.ReadingLoads(time.Second); len(loads) != 0 {
+		t.Errorf("idle box reports a load: %v", loads)
+	}
+}
+
+// Targets are dedicated to long prompts only while streams suffer from these.
+func TestDedicatedTargetsDependOnStreams(t *testing.T) {
+	steps := []struct {
+		name  string
+		every int
+		apart bool
+	}{
+		{"many streams suffer", 5, true},
+		{"few suffer with dedicated targets", 50, true},
+		{"none suffers", 1 << 20, false},
+		{"few suffer again", 50, false},
+		{"many suffer again", 10, true},
+	}
+	tb := newSufferingTable()
+	for _, step := range steps {
+		recordStreams(tb, step.every)
+		tb.Choose(longPrompt(1), 0)
+		if c := tb.Choose(longPrompt(1), 0); c.Apart != step.apart {
+			t.Fatalf("%s: long prompt on a dedicated target: %v", step.name, c.Apart)
+		}
+	}
+	tb.Streamed(tb.byID["t0"], time.Hour, 0)
+	if loads := tb.ReadingLoads(0); len(loads) != 1 {
+		t.Fatalf("stream without a bound on pauses changed the reported loads: %v", loads)
+	}
+}
--- a/models/spread/spread.go
+++ b/models/spread/spread.go
@@ -1,12 +1,12 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package spread decides which target of a service gets a call that is passed
-// through. Calls with a common part of their prompt go to the same target as
-// long as its load allows, by rendezvous hashing with bounded loads (Thaler
-// and Ravishankar 1998; Mirrokni et al. 2018), so that all boxes agree without
-// talking. All other calls go to the least loaded target, near ones first.
-// What calls show of a target (failures, silence) takes it out for a time.
+// Package spread balances the calls of a service over its targets. Calls whose prompts
+// share a prefix go to the same target as long as its load allows, by rendezvous
+// hashing with bounded loads (Thaler and Ravishankar 1998; Mirrokni et al. 2018), so
+// that all boxes agree without communication. All other calls go to the least loaded
+// target, with a preference for the box's own data centre. Targets that fail or can't
+// be reached are banned for a time.
 package spread
 
 import (
@@ -24,98 +24,109 @@
 )
 
 const (
-	// loadBound is how far above the mean a target's load may lie before calls
-	// with a common part go to the next one.
+	// loadBound is the ratio of a target's load to the mean load above which calls with
+	// a shared prefix go to the next target.
 	loadBound = 1.5
-	// loadSlack is added to the bound, in calls of the whole fleet: each box sees its own
-	// only, and each would else add it.
+	// loadSlack is added to the bound, in calls of the whole fleet. It is divided by
+	// the number of boxes: each sees only its own calls, and would otherwise add all
+	// of it.
 	loadSlack = 3.0
-	// waitingTime is the reading that may wait at one target for calls with a common part,
-	// over the whole fleet, and waitingTokens the prompt tokens in its place while it is not
-	// known how fast targets read.
-	waitingTime   = 250 * time.Millisecond
-	waitingTokens = 20000
-	// farCost is what another data centre adds to a target's load, in calls.
-	farCost = 0.6
+	// maxWaitingTime bounds the prefill time that may wait at one target, over the
+	// whole fleet, before calls with a shared prefix go to the next target.
+	// defaultMaxWaitingTokens is the bound in prompt tokens while the prefill speed is
+	// not known.
+	maxWaitingTime          = 250 * time.Millisecond
+	defaultMaxWaitingTokens = 20000
+	// remoteCost is added to the load of a target in another data centre, in calls.
+	remoteCost = 0.6
 )
 
-// Target is one start of a registered target as this box sees it. Its identity
-// never changes, so that calls may read it without the table's lock; a target that
-// has moved or started again gets a new row, and nothing is known of it.
+// Target is one start (one run of the process) of a registered target, as this box
+// sees it. ID, Born, Service, Address and DataCentre never change, so that calls may
+// read them without the table's lock. A target that has moved or restarted gets a new
+// Target, which inherits nothing.
 type Target struct {
 	ID string
-	// Born is when the start began, in milliseconds on its own time of day; zero
-	// when it did not say.
+	// Born is when the target started, in Unix milliseconds by its own clock; zero if
+	// it has not said.
 	Born       int64
 	Service    string
 	Address    string
 	DataCentre string
 
 	Draining bool
-	// Running is how many calls of this box it has.
+	// Running counts this box's calls at the target.
 	Running int
-	// Waiting counts the prompt tokens of its calls without a first event.
+	// Waiting counts the prompt tokens of this box's calls that have had no event yet.
 	Waiting int
-	// limit is what it takes from all boxes, meter what went there from this one.
+	// limit is what the target accepts from all boxes, meter what this box has sent.
 	limit rate.Limit
 	meter rate.Meter
-	// heard is what it said to this box last, as far as that was the latest known;
-	// told is the limit that others know, if known is set; untold is set while they
-	// should hear of another one, named once it has named any.
-	heard                rate.Statement
-	told                 float64
-	known, untold, named bool
-	// CallsSent and OwnSent count this box's requests to it: calls, and questions
-	// and orders of this system's own.
+	// ownStatement is the last statement that the target made to this box and that was the
+	// latest of all at the time.
+	ownStatement rate.Statement
+	// peerLimit is the limit that the other boxes know, if isPeerLimitKnown is set.
+	// unannounced is set while the target is queued for announcement, and hasStatedLimit
+	// once it has stated any limit.
+	peerLimit                                     float64
+	isPeerLimitKnown, unannounced, hasStatedLimit bool
+	// CallsSent counts this box's calls to the target, OwnSent the queries and orders
+	// that this box sent on its own behalf.
 	CallsSent, OwnSent uint64
 
 	hash  uint64
 	start string
-	// replaced is set once another target answers at the address, left once the
-	// target has said that it leaves.
+	// replaced is set once another target answers at the address, hasLeft once the target
+	// has announced its end.
 	replaced bool
-	left     bool
-	failures int
-	bannedTo time.Duration
-	sick     bool
-	outcomes float64
-	failRate float64
+	hasLeft  bool
+	// unreachableBans counts the bans for being unreachable since the target was last
+	// reached.
+	unreachableBans int
+	bannedUntil     time.Duration
+	// outlier is set while the target is banned as an outlier, and until its next outcome.
+	// outcomeCount counts the calls since the last such ban, and failureRate is the moving
+	// average of their failure rate.
+	outlier      bool
+	outcomeCount float64
+	failureRate  float64
 }
 
-// Start names the start of the target: its id alone where it does not say when it
-// began.
+// Start identifies this start of the target: by id and start time, or by the id alone
+// if the start time is not known.
 func (t *Target) Start() string { return t.start }
 
-func startOf(id string, born int64) string {
+func startIdentity(id string, born int64) string {
 	if born == 0 {
 		return id
 	}
 	return id + "@" + strconv.FormatInt(born, 10)
 }
 
-// Unreachable tells whether the last calls could not reach the target.
-func (t *Target) Unreachable() bool { return t.failures > 0 }
+// Unreachable reports whether the target could not be reached when last tried.
+func (t *Target) Unreachable() bool { return t.unreachableBans > 0 }
 
 // Table holds the targets by service. It is not safe for concurrent use.
 type Table struct {
 	dataCentre string
 	byID       map[string]*Target
-	// services holds the targets of each service in the order of their hashes.
+	// services holds the targets of each service, sorted by hash.
 	services map[string][]*Target
-	reads    map[string]*reads
+	prefill  map[string]*prefillStats
 
-	fleet  rate.Fleet
-	scarce map[string]*scarcity
-	// untold are the targets with limits that others should hear of.
-	untold []*Target
+	fleet    rate.Fleet
+	pressure map[string]*limitPressure
+	// unannounced are the targets whose limits are to be announced to the other boxes.
+	unannounced []*Target
 }
 
-// NewTable returns an empty table for a box in a data centre.
+// NewTable returns an empty table for a box in the given data centre.
 func NewTable(dataCentre string) *Table {
-	return &Table{dataCentre: dataCentre, byID: map[string]*Target{}, services: map[string][]*Target{}, reads: map[string]*reads{}, scarce: map[string]*scarcity{}}
+	return &Table{dataCentre: dataCentre, byID: map[string]*Target{}, services: map[string][]*Target{}, prefill: map[string]*prefillStats{}, pressure: map[string]*limitPressure{}}
 }
 
-// Put takes the row of a target in.
+// Put adds, updates or removes a target as its registration says. A new start time,
+// service, address or data centre makes it a new target.
 func (tb *Table) Put(row *statev1.RegisteredTarget) {
 	t := tb.byID[row.GetId()]
 	if row.GetState() == statev1.RegisteredTarget_STATE_GONE {
@@ -127,15 +138,15 @@
 		t = nil
 	}
 	if t == nil {
-		t = &Target{ID: row.GetId(), Born: row.GetBorn(), Service: row.GetService(), Address: row.GetAddress(), DataCentre: row.GetDataCentre(), hash: xxhash.Sum64String(row.GetId()), start: startOf(row.GetId(), row.GetBorn())}
+		t = &Target{ID: row.GetId(), Born: row.GetBorn(), Service: row.GetService(), Address: row.GetAddress(), DataCentre: row.GetDataCentre(), hash: xxhash.Sum64String(row.GetId()), start: startIdentity(row.GetId(), row.GetBorn())}
 		tb.byID[t.ID] = t
 		tb.insert(t)
 	}
 	t.Draining = row.GetState() == statev1.RegisteredTarget_STATE_DRAINING
-	t.left = t.left || t.Draining
+	t.hasLeft = t.hasLeft || t.Draining
 }
 
-// insert puts a target into its place in the order of its service.
+// insert adds a target to its service, in the order of hashes.
 func (tb *Table) insert(t *Target) {
 	list := tb.services[t.Service]
 	at, _ := slices.BinarySearchFunc(list, t, func(a, b *Target) int { return cmp.Compare(a.hash, b.hash) })
@@ -166,80 +177,81 @@
 	}
 }
 
-// Len returns how many targets are known.
 func (tb *Table) Len() int { return len(tb.byID) }
 
-// Need is what a call needs of its target.
+// Need describes a call for the choice of its target.
 type Need struct {
 	Service string
-	// Affinity is the hash of the common part of the prompt, zero without one.
+	// Affinity is the hash of the shared prefix of the prompt, zero without one.
 	Affinity uint64
-	// Tokens are those of the prompt that no other call shares.
+	// Tokens counts the prompt tokens that are not shared with other calls.
 	Tokens int
-	// Pause is the longest pause of a stream of its kind, zero for no bound.
+	// Pause is the longest pause that the route allows a stream, zero for no bound.
 	Pause time.Duration
-	// Boxes is how many boxes send calls; each sees its own only.
+	// Boxes is how many boxes send calls. Each sees only its own.
 	Boxes int
-	// Exclude names starts of targets that have had the call.
+	// Exclude names the starts of targets (Target.Start) that have had the call.
 	Exclude map[string]bool
-	// Rank is how urgent the call is, zero most, and Patience how long it may wait
-	// for a target that takes it.
+	// Rank is the urgency of the call, zero being the most urgent. Patience is how long
+	// it may wait for a target whose limit is used up.
 	Rank     uint32
 	Patience time.Duration
 }
 
-// Choice is a target and why it was chosen.
+// Choice is the result of Choose.
 type Choice struct {
+	// Target is nil if no target can take the call now.
 	Target *Target
-	// Apart is set when the call's prompt is long and read apart.
+	// Apart is set if the prompt is long and Target is dedicated to long prompts.
 	Apart bool
-	// Readers are the targets that read long prompts, for a call that is read apart.
+	// Readers are the dedicated targets to ask for their queues, if Apart is set.
 	Readers []*Target
-	// Home is the target that would have had a prompt that is read apart; nil for
+	// Home is the target that the call would have had if it weren't Apart; nil for
 	// other calls.
 	Home *Target
-	// Source is the target from which the common part of the prompt can be copied,
-	// nil when that is the call's own target or there is no such part.
+	// Source is the target from which the cache of the shared prefix can be copied, nil
+	// if that is Target itself or the prompt has no shared prefix.
 	Source *Target
-	// Reading is how long the prompt is expected to be read, zero when unknown.
+	// Reading is the expected prefill time of the prompt, zero if unknown.
 	Reading time.Duration
-	// Limited counts the targets to which this box may not send now, for what they
-	// take from all boxes; where there is no other one, Want says what to do.
+	// Limited counts the targets whose limits keep this box from sending to them now.
+	// If there are no others, Want says what to do with the call.
 	Limited int
 	Want    Want
 }
 
-// Choose returns the target for a call, a nil one when there is none. Draining
-// ones are never chosen; those that are out only when all others are too.
+// Choose returns the target for a call. Draining targets are never chosen, and banned
+// ones only if all others are banned as well.
 func (tb *Table) Choose(need Need, now time.Duration) Choice {
 	c := Choice{}
 	found := tb.candidates(need, now)
-	candidates := found.open
-	c.Limited = len(found.closed)
+	candidates := found.sendable
+	c.Limited = len(found.exhausted)
 	if len(candidates) == 0 {
 		if c.Limited > 0 {
-			c.Want = tb.want(need, found.closed, now)
+			c.Want = tb.waitOrRefuse(need, found.exhausted, now)
 		}
 		return c
 	}
-	r := tb.readsOf(need.Service)
-	c.Reading = r.time(need.Tokens)
-	long := need.Pause > 0 && float64(c.Reading) > longShare*float64(need.Pause)
+	r := tb.prefillOf(need.Service)
+	c.Reading = r.prefillTime(need.Tokens)
+	long := need.Pause > 0 && float64(c.Reading) > longPrefillShare*float64(need.Pause)
 	if long {
-		r.add(c.Reading, now)
+		r.addLongPrompt(c.Reading, now)
 	}
-	// Targets with limits are the last ones: which targets read apart must not change
-	// from window to window, and questions to readers would use their limits up.
-	n := min(r.apart(len(candidates), need.Boxes, now), found.free)
+	// Targets with limits come last and are never dedicated to long prompts: the set of
+	// dedicated targets must not change from window to window, and querying their queues
+	// would use up the limits.
+	n := min(r.dedicatedTargets(len(candidates), need.Boxes, now), found.unlimited)
 	readers, others := candidates[:n], candidates[n:]
 	c.Target = tb.pick(need, others)
 	if long && len(readers) > 0 {
 		c.Apart = true
 		c.Home, c.Target = c.Target, leastWaiting(readers, need.Affinity)
-		c.Readers = firstReaders(readers, need.Affinity)
+		c.Readers = targetsToQuery(readers, need.Affinity)
 	}
 	if need.Affinity != 0 {
-		c.Source = highest(others, need.Affinity, func(*Target) bool { return true })
+		c.Source = highestScore(others, need.Affinity, func(*Target) bool { return true })
 	}
 	if c.Source == c.Target {
 		c.Source = nil
@@ -247,41 +259,42 @@
 	return c
 }
 
-// readsOf returns what is known of the reading at a service.
-func (tb *Table) readsOf(service string) *reads {
-	r := tb.reads[service]
+// prefillOf returns the prefill record of a service, and creates it if needed.
+func (tb *Table) prefillOf(service string) *prefillStats {
+	r := tb.prefill[service]
 	if r == nil {
-		r = &reads{}
-		tb.reads[service] = r
+		r = &prefillStats{}
+		tb.prefill[service] = r
 	}
 	return r
 }
 
-// firstReaders returns the few readers that come first for a common part: they
-// are asked what they read, and asking all would not grow with the fleet.
-func firstReaders(readers []*Target, affinity uint64) []*Target {
+// targetsToQuery returns the dedicated targets that rank highest for a shared prefix,
+// at most maxQueried: asking all of them for their queues would not scale with the
+// fleet.
+func targetsToQuery(readers []*Target, affinity uint64) []*Target {
 	list := slices.Clone(readers)
 	slices.SortFunc(list, func(a, b *Target) int { return cmp.Compare(hashing.Mix(b.hash^affinity), hashing.Mix(a.hash^affinity)) })
-	return list[:min(askedReaders, len(list))]
+	return list[:min(maxQueried, len(list))]
 }
 
-// leastWaiting returns the target with the fewest prompt tokens that wait.
+// leastWaiting returns the target with the fewest waiting prompt tokens.
 func leastWaiting(candidates []*Target, affinity uint64) *Target {
 	least := math.MaxInt
 	for _, t := range candidates {
 		least = min(least, t.Waiting)
 	}
-	return highest(candidates, affinity, func(t *Target) bool { return t.Waiting == least })
+	return highestScore(candidates, affinity, func(t *Target) bool { return t.Waiting == least })
 }
 
-// Read notes how long a target took to the first event of a call, for the
-// tokens of its prompt that no other call shares.
+// Read records the time from a call to its first event, for a prompt with the given
+// number of unshared tokens.
 func (tb *Table) Read(t *Target, tokens int, first time.Duration) {
-	tb.readsOf(t.Service).learn(tokens, first)
+	tb.prefillOf(t.Service).recordPrefill(tokens, first)
 }
 
-// pick chooses among targets that may have the call: by its common part as far
-// as their loads allow, else the least loaded.
+// pick chooses among the candidates for a call: by the shared prefix as far as their
+// loads allow, otherwise the least loaded.
 func (tb *Table) pick(need Need, candidates []*Target) *Target {
 	if need.Affinity == 0 {
 		return tb.leastLoaded(candidates)
@@ -292,25 +305,25 @@
 	}
 	boxes := max(1, need.Boxes)
 	bound := loadBound*float64(total)/float64(len(candidates)) + loadSlack/float64(boxes)
-	open := func(t *Target) bool { return float64(t.Running) <= bound }
-	share := tb.readsOf(need.Service).tokens(waitingTime, waitingTokens) / boxes
-	quiet := func(t *Target) bool { return open(t) && t.Waiting < share }
-	if best := highest(candidates, need.Affinity, quiet); best != nil {
+	belowBound := func(t *Target) bool { return float64(t.Running) <= bound }
+	share := tb.prefillOf(need.Service).tokensIn(maxWaitingTime, defaultMaxWaitingTokens) / boxes
+	fewWaiting := func(t *Target) bool { return belowBound(t) && t.Waiting < share }
+	if best := highestScore(candidates, need.Affinity, fewWaiting); best != nil {
 		return best
 	}
-	if best := highest(candidates, need.Affinity, open); best != nil {
+	if best := highestScore(candidates, need.Affinity, belowBound); best != nil {
 		return best
 	}
 	return tb.leastLoaded(candidates)
 }
 
-// highest returns the target that a common part belongs to among those that
-// may have it.
-func highest(candidates []*Target, affinity uint64, may func(*Target) bool) *Target {
+// highestScore returns the target with the highest rendezvous score for a shared prefix
+// among those that the filter admits, nil if there is none.
+func highestScore(candidates []*Target, affinity uint64, admits func(*Target) bool) *Target {
 	var best *Target
 	bestScore := uint64(0)
 	for _, t := range candidates {
-		if !may(t) {
+		if !admits(t) {
 			continue
 		}
 		if score := hashing.Mix(t.hash ^ affinity); best == nil || score > bestScore {
@@ -320,63 +333,63 @@
 	return best
 }
 
-// found are the targets that a call may go to.
-type found struct {
-	// open has first those without a limit, of which there are free, then those with
-	// one, each in the order of their hashes.
-	open []*Target
-	free int
-	// closed are those to which this box may not send now.
-	closed []*Target
+// candidateSet holds the candidates for a call.
+type candidateSet struct {
+	// sendable are the targets to which this box may send now, sorted by hash: first those
+	// without a limit, unlimited in number, then those with one.
+	sendable  []*Target
+	unlimited int
+	// exhausted are the targets whose limits keep this box from sending to them now.
+	exhausted []*Target
 }
 
-// usable tells whether a target may have a call as far as it is there.
-func (tb *Table) usable(t *Target, need Need) bool {
+// isUsable reports whether a target may have a call, bans and limits aside.
+func (tb *Table) isUsable(t *Target, need Need) bool {
 	return !t.Draining && !t.replaced && !need.Exclude[t.start]
 }
 
-// candidates finds the targets that a call may go to: those that are out only when
-// there are no others at all.
-func (tb *Table) candidates(need Need, now time.Duration) found {
-	var fnd found
-	var limited, out []*Target
+// candidates returns the targets that a call may go to. Banned targets are included
+// only if there are no others.
+func (tb *Table) candidates(need Need, now time.Duration) candidateSet {
+	var found candidateSet
+	var limited, banned []*Target
 	for _, t := range tb.services[need.Service] {
 		switch {
-		case !tb.usable(t, need):
-		case t.bannedTo > now:
-			out = append(out, t)
+		case !tb.isUsable(t, need):
+		case t.bannedUntil > now:
+			banned = append(banned, t)
 		case !tb.Limited(t, now):
-			fnd.open = append(fnd.open, t)
-		case tb.open(t, now):
+			found.sendable = append(found.sendable, t)
+		case tb.sendable(t, now):
 			limited = append(limited, t)
 		default:
-			fnd.closed = append(fnd.closed, t)
+			found.exhausted = append(found.exhausted, t)
 		}
 	}
-	fnd.free = len(fnd.open)
-	if fnd.free == 0 && len(limited) > 0 && !tb.mayTakeScarce(need, now) {
-		fnd.closed = append(fnd.closed, limited...)
-		return fnd
+	found.unlimited = len(found.sendable)
+	if found.unlimited == 0 && len(limited) > 0 && !tb.mayUseLimited(need, now) {
+		found.exhausted = append(found.exhausted, limited...)
+		return found
 	}
-	fnd.open = append(fnd.open, limited...)
-	if len(fnd.open)+len(fnd.closed) > 0 {
-		return fnd
+	found.sendable = append(found.sendable, limited...)
+	if len(found.sendable)+len(found.exhausted) > 0 {
+		return found
 	}
-	for _, t := range out {
-		if tb.open(t, now) {
-			fnd.open = append(fnd.open, t)
+	for _, t := range banned {
+		if tb.sendable(t, now) {
+			found.sendable = append(found.sendable, t)
 		}
 	}
-	return fnd
+	return found
 }
 
 func (tb *Table) leastLoaded(candidates []*Target) *Target {
 	var best *Target
 	bestCost := math.Inf(1)
 	for _, t := range candidates {
-		cost := float64(t.Running) + 4*t.failRate
+		cost := float64(t.Running) + 4*t.failureRate
 		if t.DataCentre != tb.dataCentre {
-			cost += farCost
+			cost += remoteCost
 		}
 		if cost < bestCost {
 			best, bestCost = t, cost
