--- a/models/quarantine/bench_test.go
+++ b/models/quarantine/bench_test.go
@@ -5,7 +5,7 @@
 
 import "testing"
 
-// BenchmarkOf makes the digest of a call of usual size, which each call costs once.
+// BenchmarkOf computes the digest of a call of typical size, as is done once per call.
 func BenchmarkOf(b *testing.B) {
 	body := make([]byte, 800)
 	b.ReportAllocs()
--- a/models/quarantine/content.go
+++ b/models/quarantine/content.go
@@ -1,10 +1,10 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package quarantine decides which calls are held back because targets end under
-// them. A caller that does not see its answer sends its call again, under a new id
-// and to any box. When the call itself is what ends the target that begins to run
-// it, every repeat costs one more target with all other calls that run there.
+// Package quarantine decides which calls are held back because targets end (crash or
+// restart) while they run them. A caller that gets no answer sends its call again,
+// under a new id and to any box. If the call itself ends the target that begins to run
+// it, every retry costs another target with all other calls that run there.
 package quarantine
 
 import (
@@ -13,12 +13,13 @@
 	"encoding/hex"
 )
 
-// Content is the digest of what makes two calls the same: the first 128 bits of a
-// SHA-256, so that nobody can make a call that passes for another one.
+// Content is the digest by which two calls count as the same: the first 128 bits of a
+// SHA-256, so that nobody can forge a call with the digest of another one.
 type Content [16]byte
 
-// Of returns the digest of who pays for a call, of what it names and of its body.
-// Each part goes in with its length, so that parts can't run into each other.
+// Of returns the digest of a call's payer, method, path and body. Payer, method and
+// path are prefixed with their lengths, so that different calls can't yield the same
+// input.
 func Of(payer, method, path string, body []byte) Content {
 	h := sha256.New()
 	var length [8]byte
@@ -33,7 +34,7 @@
 	return c
 }
 
-// ContentOf reads a digest; ok is false for bytes that are none.
+// ContentOf returns the digest in data; ok is false if data has the wrong length.
 func ContentOf(data []byte) (c Content, ok bool) {
 	if len(data) != len(c) {
 		return c, false
--- a/models/quarantine/list.go
+++ b/models/quarantine/list.go
@@ -9,7 +9,8 @@
 	statev1 "havenwinch.dev/havenwinch/gen/havenwinch/state/v1"
 )
 
-// List is a box's copy of the calls that control has listed. It moves forward only.
+// List is a box's copy of the calls that control has listed. Its revision never
+// decreases. It is safe for concurrent use.
 type List struct {
 	mu       sync.RWMutex
 	rows     map[Content]*statev1.QuarantinedCall
@@ -17,8 +18,8 @@
 	reports  uint64
 }
 
-// Take takes all listed rows of a revision in, and tells whether they are news. reports
-// is the number of the last report of calls that they count.
+// Take replaces the rows by those of a newer revision, and reports whether it has done
+// so. reports is the number of the last report of calls that the rows include.
 func (l *List) Take(rows []*statev1.QuarantinedCall, revision, reports uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -46,22 +47,23 @@
 	return l.revision
 }
 
-// Reports returns the number of the last report of calls that the copy counts.
+// Reports returns the number of the last report of calls that the copy includes.
 func (l *List) Reports() uint64 {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	return l.reports
 }
 
-// Row returns what control has listed of a call, nil for most calls.
+// Row returns the row of a call, nil if the call is not listed. The row must not be
+// modified.
 func (l *List) Row(c Content) *statev1.QuarantinedCall {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	return l.rows[c]
 }
 
-// After returns the rows for a follower that has a revision, none when that is
-// this one, and the revision of the copy.
+// After returns the revision of the copy and its rows, no rows for a follower that
+// already has that revision.
 func (l *List) After(revision uint64) ([]*statev1.QuarantinedCall, uint64) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
@@ -71,8 +73,8 @@
 	return sorted(l.rows), l.revision
 }
 
-// After returns the listed rows for a follower that has a revision, none when that
-// is the table's, and the revision of the table.
+// After returns the revision of the table and its listed rows, no rows for a follower
+// that already has that revision.
 func (tb *Table) After(revision uint64) ([]*statev1.QuarantinedCall, uint64) {
 	if tb.revision <= revision {
 		return nil, tb.revision
--- a/models/quarantine/recent.go
+++ b/models/quarantine/recent.go
@@ -6,34 +6,34 @@
 import "time"
 
 const (
-	// recentHalf is half of how many calls a box remembers that ended well, of 24
-	// bytes each: a box serves 25 a second today.
-	recentHalf = 1024
-	// servedFresh is how long a call that ended well is not blamed for the ends of
-	// targets. Without it one call that makes a third of the traffic was held back
-	// by a crash of all targets at once, and 29,029 of 30,000 tries of it refused
-	// (chance_test.go); with it none.
-	servedFresh = 5 * time.Second
+	// recentGeneration is half the number of successful calls that a box remembers, at 24
+	// bytes each. A box serves 25 a second at present.
+	recentGeneration = 1024
+	// recentSuccess is how long after a success a call is not blamed for the end of a
+	// target. Without this rule a call that makes up a third of the traffic was held
+	// back after a crash of all targets at once, and 29,029 of 30,000 attempts were
+	// refused (chance_test.go); with it, none.
+	recentSuccess = 5 * time.Second
 )
 
-// Recent remembers the last calls that ended well, so that one that many callers
-// send is not blamed for a crash of several targets at the same moment. It is not
-// safe for concurrent use.
+// Recent remembers the last successful calls, so that a call that many callers send is
+// not blamed when several targets crash at the same moment. It is not safe for
+// concurrent use.
 type Recent struct{ newer, older map[Content]time.Duration }
 
-// Add remembers a call that ended well at a time.
+// Add records a call that succeeded at the given time.
 func (r *Recent) Add(c Content, at time.Duration) {
-	if r.newer == nil || len(r.newer) >= recentHalf {
-		r.newer, r.older = make(map[Content]time.Duration, recentHalf), r.newer
+	if r.newer == nil || len(r.newer) >= recentGeneration {
+		r.newer, r.older = make(map[Content]time.Duration, recentGeneration), r.newer
 	}
 	r.newer[c] = at
 }
 
-// Has tells whether a call ended well shortly before a time.
+// Has reports whether a call succeeded within recentSuccess before now.
 func (r *Recent) Has(c Content, now time.Duration) bool {
 	at, known := r.newer[c]
 	if !known {
 		at, known = r.older[c]
 	}
-	return known && now-at < servedFresh
+	return known && now-at < recentSuccess
 }
--- a/models/quarantine/table.go
+++ b/models/quarantine/table.go
@@ -11,24 +11,25 @@
 	statev1 "havenwinch.dev/havenwinch/gen/havenwinch/state/v1"
 )
 
-// Weights of the ends of targets. A call that ends its target does so when it
-// begins to run, so an end before anything of the answer had come weighs more. A
-// stream that has begun shares its target's end by chance: with 58 events it is
-// there ten times as long after its first event as before it.
+// Weights of a target's end. A call that ends its target does so when it begins to run,
+// so an end before the first part of the answer weighs more. A stream that has begun is
+// likely to be affected by chance: with 58 events it runs ten times as long after its
+// first event as before it.
 const (
 	EarlyEnd uint32 = 2
 	LateEnd  uint32 = 1
-	// heldWeight is the weight from which on a call is held back: three early ends
-	// of different starts. Of 100,000 calls none reached it by chance while each of
-	// 18 targets crashed once in 20 s (chance_test.go).
-	heldWeight = 3 * EarlyEnd
-	// listedTargets is how many ends make a call known to all boxes, so that any
-	// of them can say that it ended well there. One end is common: a crash of one
-	// target strikes all calls that run there.
-	listedTargets = 2
+	// holdThreshold is the total weight from which on a call is held back: three early
+	// ends of different starts. Of 100,000 calls none reached it by chance while each
+	// of 18 targets crashed once in 20 s (chance_test.go).
+	holdThreshold = 3 * EarlyEnd
+	// listThreshold is how many ends make a call listed to all boxes, so that any of
+	// them can report its success. A single end is common: the crash of one target
+	// affects all calls that run there.
+	listThreshold = 2
 )
 
-// Weight returns how much the end of a target counts against a call.
+// Weight returns the weight of a target's end, which is early if no part of the answer
+// had arrived.
 func Weight(early bool) uint32 {
 	if early {
 		return EarlyEnd
@@ -37,48 +38,48 @@
 }
 
 const (
-	// suspectFor is how long after its last end a call is suspected.
-	suspectFor = 10 * time.Minute
-	// maxRows bounds the calls that are known, about 150 bytes each. The ones with
-	// the least weight give way: a crash of many targets strikes many calls once.
+	// suspicionPeriod is how long a call is remembered after the last end of a target.
+	suspicionPeriod = 10 * time.Minute
+	// maxRows bounds the rows, about 150 bytes each. Those with the lowest weight are
+	// evicted first, since a crash of many targets affects many calls once.
 	maxRows = 2048
-	// maxTargets is how many starts of targets a row names.
-	maxTargets = 8
+	// maxTargetsPerCall bounds the starts of targets in a row, and the ends that a box keeps
+	// of one call.
+	maxTargetsPerCall = 8
 )
 
-// heldFor is how long a call is held back the first time, the second and so on.
-// When the time is over it may run again, and one further end holds it back anew.
-// Each such trial costs a target with all its calls, so few are made a day.
-var heldFor = [...]time.Duration{10 * time.Minute, time.Hour, 6 * time.Hour, 24 * time.Hour}
+// holdPeriods is how long a call is held back the first time, the second time and so on.
+// Afterwards it may run again, and a single early end holds it back anew. Each such
+// trial may cost a target with all its calls, so only a few are made a day.
+var holdPeriods = [...]time.Duration{10 * time.Minute, time.Hour, 6 * time.Hour, 24 * time.Hour}
 
-// Table holds the calls under which targets ended. Times are in milliseconds on
-// any one clock, and the same reports in the same order give the same table
-// anywhere. Rows are replaced and never changed. It is not safe for concurrent use.
+// Table holds the calls during which targets ended. Times are in milliseconds of any
+// single clock. The table is deterministic: the same reports in the same order lead to
+// the same table. Rows are replaced, never modified. It is not safe for concurrent use.
 type Table struct {
 	rows map[Content]*statev1.QuarantinedCall
-	// listed are the rows that all boxes are told of, with marks in place of targets;
-	// revision rises with them.
+	// listed are the rows that are sent to all boxes, with marks (Mark) in place of the
+	// names of targets. revision increases with their changes.
 	listed   map[Content]*statev1.QuarantinedCall
 	revision uint64
-	// due holds the contents of all rows in the order in which they are due.
+	// due holds the contents of all rows, sorted by the time at which they are due.
 	due []Content
 	now int64
-	// reports is the number of the last report that was taken in.
+	// reports is the number of the last report applied.
 	reports uint64
 }
 
-// NewTable returns an empty table.
 func NewTable() *Table {
 	return &Table{rows: map[Content]*statev1.QuarantinedCall{}, listed: map[Content]*statev1.QuarantinedCall{}}
 }
 
-// Verdict is a call that a report has held back or released.
+// Verdict says that a call is now held back or released.
 type Verdict struct {
 	Content Content
 	Row     *statev1.QuarantinedCall
-	// Held is false for a call that is released.
+	// Held is false if the call is released.
 	Held bool
-	// Reason says why it was released.
+	// Reason says why the call is released.
 	Reason string
 }
 
@@ -88,33 +89,34 @@
 	ReasonOver   = "its time is over"
 )
 
-// Len returns how many calls are known.
 func (tb *Table) Len() int { return len(tb.rows) }
 
-// Revision rises with every change of the listed rows.
+// Revision returns the revision of the listed rows. It increases when a row is listed
+// or removed, and when its weight or whether it is held back changes.
 func (tb *Table) Revision() uint64 { return tb.revision }
 
-// Reports returns the number of the last report that was taken in.
+// Reports returns the number of the last report applied.
 func (tb *Table) Reports() uint64 { return tb.reports }
 
-// Listed returns the rows that all boxes are told of: calls that are held back,
-// were before, or under which some targets ended.
+// Listed returns the rows that are sent to all boxes: calls that are or were held back,
+// or during which at least listThreshold targets ended.
 func (tb *Table) Listed() []*statev1.QuarantinedCall { return sorted(tb.listed) }
 
-// Row returns what is known of a call, nil when nothing.
+// Row returns the row of a call, nil if there is none.
 func (tb *Table) Row(c Content) *statev1.QuarantinedCall { return tb.rows[c] }
 
-// Take takes a report in and returns what it has held back and released. Reports
-// may be repeated: an end counts once for each start of a target.
+// Take applies a report and returns the calls that are held back or released by it or
+// by the passage of time. A report may be applied repeatedly: an end counts once for
+// each start of a target.
 func (tb *Table) Take(r *statev1.ReportCalls) []Verdict {
 	verdicts := tb.expire(r.GetAt())
-	tb.reports = tb.after(tb.reports)
+	tb.reports = tb.nextNumber(tb.reports)
 	for _, e := range r.GetEnded() {
 		c, ok := ContentOf(e.GetContent())
 		if !ok {
 			continue
 		}
-		if row := tb.ended(c, e.GetTarget(), e.GetWeight()); row != nil {
+		if row := tb.addEnd(c, e.GetTarget(), e.GetWeight()); row != nil {
 			verdicts = append(verdicts, Verdict{Content: c, Row: row, Held: true})
 		}
 	}
@@ -123,16 +125,16 @@
 		if !ok {
 			continue
 		}
-		if row := tb.served(c); row.GetHeld() {
+		if row := tb.clear(c); row.GetHeld() {
 			verdicts = append(verdicts, Verdict{Content: c, Row: row, Reason: ReasonServed})
 		}
 	}
 	return verdicts
 }
 
-// ended counts the end of a target under a call. It returns the row when that has
-// held the call back, nil otherwise.
-func (tb *Table) ended(c Content, target string, weight uint32) *statev1.QuarantinedCall {
+// addEnd counts the end of a target during a call. It returns the row if the call is
+// held back from now on, nil otherwise.
+func (tb *Table) addEnd(c Content, target string, weight uint32) *statev1.QuarantinedCall {
 	old := tb.rows[c]
 	if slices.Contains(old.GetTargets(), target) {
 		return nil
@@ -140,14 +142,14 @@
 	row := &statev1.QuarantinedCall{
 		Content: c[:], Targets: append(slices.Clone(old.GetTargets()), target),
 		Weight: old.GetWeight() + min(weight, EarlyEnd), Held: old.GetHeld(), Rounds: old.GetRounds(),
-		Due: tb.now + suspectFor.Milliseconds(), Cleared: old.GetCleared(),
+		Due: tb.now + suspicionPeriod.Milliseconds(), Cleared: old.GetCleared(),
 	}
-	if len(row.GetTargets()) > maxTargets {
+	if len(row.GetTargets()) > maxTargetsPerCall {
 		row.Targets = row.Targets[1:]
 		row.Cleared -= min(1, row.GetCleared())
 	}
 	if row.GetHeld() {
-		// It was on its way before the box had heard of it.
+		// The call was sent before its box learned that it is held back.
 		row.Due = old.GetDue()
 		tb.put(c, row)
 		return nil
@@ -155,32 +157,32 @@
 	if row.GetRounds() > 0 {
 		row.Due = max(old.GetDue(), row.GetDue())
 	}
-	if row.GetWeight() < heldWeight {
+	if row.GetWeight() < holdThreshold {
 		tb.put(c, row)
 		return nil
 	}
 	row.Held = true
 	row.Rounds++
-	row.Due = tb.now + holdTime(row.GetRounds()).Milliseconds()
+	row.Due = tb.now + holdPeriod(row.GetRounds()).Milliseconds()
 	tb.put(c, row)
 	return row
 }
 
-// served clears a call that has ended well, and returns what was known of it. The
-// starts of targets stay known: a report that is sent again must not count them anew.
-func (tb *Table) served(c Content) *statev1.QuarantinedCall {
+// clear clears a call that has succeeded and returns its former row. The new row keeps
+// the starts of targets, since a report that is sent again must not count them anew.
+func (tb *Table) clear(c Content) *statev1.QuarantinedCall {
 	row := tb.rows[c]
 	if row == nil {
 		return nil
 	}
 	tb.remove(c)
 	tb.put(c, &statev1.QuarantinedCall{
-		Content: c[:], Targets: row.GetTargets(), Cleared: uint32(len(row.GetTargets())), Due: tb.now + suspectFor.Milliseconds(),
+		Content: c[:], Targets: row.GetTargets(), Cleared: uint32(len(row.GetTargets())), Due: tb.now + suspicionPeriod.Milliseconds(),
 	})
 	return row
 }
 
-// Due returns when the next row is due, and false when there is none.
+// Due returns the time at which the next row is due, false if there are no rows.
 func (tb *Table) Due() (at int64, any bool) {
 	if len(tb.due) == 0 {
 		return 0, false
@@ -188,8 +190,8 @@
 	return tb.rows[tb.due[0]].GetDue(), true
 }
 
-// expire brings the table up to a time. A call whose time is over may run again
-// and stays known for as long again.
+// expire applies the passage of time up to at. A call whose hold has ended may run
+// again, and its row is kept for the same time again.
 func (tb *Table) expire(at int64) []Verdict {
 	tb.now = max(tb.now, at)
 	var released []Verdict
@@ -204,8 +206,8 @@
 			continue
 		}
 		trial := &statev1.QuarantinedCall{
-			Content: c[:], Targets: row.GetTargets(), Weight: heldWeight - EarlyEnd, Rounds: row.GetRounds(),
-			Due: tb.now + holdTime(row.GetRounds()).Milliseconds(),
+			Content: c[:], Targets: row.GetTargets(), Weight: holdThreshold - EarlyEnd, Rounds: row.GetRounds(),
+			Due: tb.now + holdPeriod(row.GetRounds()).Milliseconds(),
 		}
 		tb.put(c, trial)
 		released = append(released, Verdict{Content: c, Row: trial, Reason: ReasonOver})
@@ -213,28 +215,30 @@
 	return released
 }
 
-func holdTime(rounds uint32) time.Duration { return heldFor[min(int(rounds), len(heldFor))-1] }
+func holdPeriod(rounds uint32) time.Duration {
+	return holdPeriods[min(int(rounds), len(holdPeriods))-1]
+}
 
-// put replaces a row.
+// put adds or replaces a row, and evicts another one if the table is full.
 func (tb *Table) put(c Content, row *statev1.QuarantinedCall) {
-	tb.unqueue(c)
+	tb.removeDue(c)
 	if tb.rows[c] == nil && len(tb.rows) >= maxRows {
-		tb.remove(tb.least())
+		tb.remove(tb.lowestWeight())
 	}
 	tb.rows[c] = row
 	at, _ := slices.BinarySearchFunc(tb.due, c, tb.byDue)
 	tb.due = slices.Insert(tb.due, at, c)
-	tb.list(c, row)
+	tb.updateListed(c, row)
 }
 
-// byDue orders contents by when their rows are due; equal ones by themselves, so
-// that a table that was loaded has the same order.
+// byDue compares contents by the time at which their rows are due. Ties are resolved by
+// content, so that a table loaded from a snapshot has the same order.
 func (tb *Table) byDue(a, b Content) int {
 	return cmp.Or(cmp.Compare(tb.rows[a].GetDue(), tb.rows[b].GetDue()), slices.Compare(a[:], b[:]))
 }
 
-// least returns the call with the least weight, of these the one that is due first.
-func (tb *Table) least() Content {
+// lowestWeight returns the call with the lowest weight, of several the one that is due first.
+func (tb *Table) lowestWeight() Content {
 	best := tb.due[0]
 	for _, c := range tb.due {
 		if tb.rows[c].GetWeight() < tb.rows[best].GetWeight() {
@@ -244,21 +248,24 @@
 	return best
 }
 
-func (tb *Table) list(c Content, row *statev1.QuarantinedCall) {
-	known := tb.listed[c]
-	if !row.GetHeld() && row.GetRounds() == 0 && len(row.GetTargets())-int(row.GetCleared()) < listedTargets {
+// updateListed sets the listed row of a call, if the call is to be listed. The revision
+// increases only if the call was not listed before, or if its weight or whether it is
+// held back has changed.
+func (tb *Table) updateListed(c Content, row *statev1.QuarantinedCall) {
+	previous := tb.listed[c]
+	if !row.GetHeld() && row.GetRounds() == 0 && len(row.GetTargets())-int(row.GetCleared()) < listThreshold {
 		return
 	}
-	told := &statev1.QuarantinedCall{Content: row.GetContent(), Due: row.GetDue(), Held: row.GetHeld(), Rounds: row.GetRounds()}
+	next := &statev1.QuarantinedCall{Content: row.GetContent(), Due: row.GetDue(), Held: row.GetHeld(), Rounds: row.GetRounds()}
 	if !row.GetHeld() {
-		told.Weight = row.GetWeight()
+		next.Weight = row.GetWeight()
 		for _, t := range row.GetTargets() {
-			told.Targets = append(told.Targets, Mark(t))
+			next.Targets = append(next.Targets, Mark(t))
 		}
 	}
-	tb.listed[c] = told
-	if known == nil || known.GetHeld() != told.GetHeld() || known.GetWeight() != told.GetWeight() {
-		tb.revision = tb.after(tb.revision)
+	tb.listed[c] = next
+	if previous == nil || previous.GetHeld() != next.GetHeld() || previous.GetWeight() != next.GetWeight() {
+		tb.revision = tb.nextNumber(tb.revision)
 	}
 }
 
@@ -266,33 +273,33 @@
 	if tb.rows[c] == nil {
 		return
 	}
-	tb.unqueue(c)
+	tb.removeDue(c)
 	delete(tb.rows, c)
 	if tb.listed[c] != nil {
 		delete(tb.listed, c)
-		tb.revision = tb.after(tb.revision)
+		tb.revision = tb.nextNumber(tb.revision)
 	}
 }
 
-func (tb *Table) unqueue(c Content) {
+func (tb *Table) removeDue(c Content) {
 	if tb.rows[c] != nil {
 		at := slices.Index(tb.due, c)
 		tb.due = slices.Delete(tb.due, at, at+1)
 	}
 }
 
-// after returns the number that follows one: at least the time in milliseconds, so that
-// numbers go on rising when control has lost its state, and copies of the table that
-// began from different snapshots come to the same ones.
-func (tb *Table) after(n uint64) uint64 { return max(n+1, uint64(max(0, tb.now))) }
+// nextNumber returns the number that follows n. It is at least the time in milliseconds, so
+// that numbers still increase after control has lost its state, and so that copies of
+// the table that were loaded from different snapshots arrive at the same numbers.
+func (tb *Table) nextNumber(n uint64) uint64 { return max(n+1, uint64(max(0, tb.now))) }
 
-// Snapshot puts the table into a snapshot.
+// Snapshot writes the table into a snapshot.
 func (tb *Table) Snapshot(s *statev1.Snapshot) {
 	s.Quarantine, s.QuarantineRevision, s.QuarantineAt = sorted(tb.rows), tb.revision, tb.now
 	s.QuarantineReports = tb.reports
 }
 
-// sorted returns rows in the order of their contents.
+// sorted returns the rows sorted by content.
 func sorted(rows map[Content]*statev1.QuarantinedCall) []*statev1.QuarantinedCall {
 	list := make([]*statev1.QuarantinedCall, 0, len(rows))
 	for _, row := range rows {
@@ -302,7 +309,7 @@
 	return list
 }
 
-// Load returns the table of a snapshot.
+// Load restores a table from a snapshot.
 func Load(s *statev1.Snapshot) *Table {
 	tb := NewTable()
 	for _, row := range s.GetQuarantine() {
--- a/models/quarantine/unlisted_test.go
+++ b/models/quarantine/unlisted_test.go
@@ -5,30 +5,30 @@
 
 import "testing"
 
-// A box that is cut off keeps the ends of so many calls at most.
+// A box that is cut off from control keeps the ends of at most maxUnlisted calls.
 func TestUnlistedIsBounded(t *testing.T) {
 	u := &Unlisted{}
 	for _, target := range []string{"t1", "t2", "t3"} {
-		u.Add(contentNo(1), target, EarlyEnd, nil, 0)
+		u.Add(testContent(1), target, EarlyEnd, nil, 0)
 	}
 	for n := range 2 * maxUnlisted {
-		u.Add(contentNo(10+n), "t1", EarlyEnd, nil, 0)
+		u.Add(testContent(10+n), "t1", EarlyEnd, nil, 0)
 	}
-	if _, held := u.Held(contentNo(1), nil, 0); !held || len(u.calls) != maxUnlisted {
-		t.Fatalf("%d calls kept, the one with three ends held back: %v", len(u.calls), held)
+	if _, held := u.Held(testContent(1), nil, 0); !held || len(u.calls) != maxUnlisted {
+		t.Fatalf("%d calls are kept, and the one with three ends is held back: %v", len(u.calls), held)
 	}
 }
 
-// BenchmarkHeld asks for a call with two ends of this box and a row on the list.
+// BenchmarkHeld measures Held for a listed call with two ends observed by this box.
 func BenchmarkHeld(b *testing.B) {
 	u, tb := &Unlisted{}, NewTable()
-	tb.Take(ended(0, end(contentNo(1), "t1", EarlyEnd), end(contentNo(1), "t2", EarlyEnd)))
+	tb.Take(endReport(0, targetEnd(testContent(1), "t1", EarlyEnd), targetEnd(testContent(1), "t2", EarlyEnd)))
 	row := tb.Listed()[0]
 	for _, target := range []string{"t1", "t2"} {
-		u.Add(contentNo(1), target, EarlyEnd, row, 0)
+		u.Add(testContent(1), target, EarlyEnd, row, 0)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		_, _ = u.Held(contentNo(1), row, 0)
+		_, _ = u.Held(testContent(1), row, 0)
 	}
 }
