--- a/models/rate/message.go
+++ b/models/rate/message.go
@@ -9,8 +9,8 @@
 	betweenv1 "havenwinch.dev/havenwinch/gen/havenwinch/between/v1"
 )
 
-// Message returns a statement of a start of a target as boxes tell it to each other:
-// by its age, since their clocks differ.
+// Message returns the message with which boxes send each other the statement of a
+// target's start. It has the age of the statement, since the clocks of boxes differ.
 func (s Statement) Message(target string, born int64, service string, now time.Duration) *betweenv1.TargetLimit {
 	m := &betweenv1.TargetLimit{
 		Target: target, Born: born, Service: service,
@@ -24,8 +24,8 @@
 	return m
 }
 
-// OfMessage returns the statement of a message that came now. It returns false when
-// that is none.
+// OfMessage returns the statement in a message that arrived at now, false if its limit is
+// invalid.
 func OfMessage(m *betweenv1.TargetLimit, now time.Duration) (Statement, bool) {
 	s := Statement{
 		Limit: m.GetPerSecond(),
--- a/models/rate/rate.go
+++ b/models/rate/rate.go
@@ -1,17 +1,17 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package rate divides a number of sends a second among the boxes of a fleet,
-// without a message for each send. The number may be far smaller than the fleet:
-// time is cut into windows, and in each window every send belongs to one box, drawn
-// by rendezvous hashing (Thaler and Ravishankar 1998) over the names of the boxes.
-// A box sends only what is its own in the present window; what it does not use is
-// lost, so two boxes never send the same one, and a box that starts anew, freezes or
-// is cut off takes nothing from the others' parts.
+// Package rate is a distributed rate limiter: it divides a number of sends per second
+// among the boxes of a fleet, without a message for each send. The rate may be far lower
+// than the number of boxes: time is divided into windows, and each send of a window is
+// assigned to one box by rendezvous hashing (Thaler and Ravishankar 1998) over the names
+// of the boxes. A box may make only the sends that are assigned to it in the current
+// window. Unused ones expire, so that no send is made twice, and a box that restarts,
+// freezes or is cut off takes nothing from the shares of the others.
 //
-// All boxes agree as far as they know the same boxes and the same time. Where they
-// don't, each keeps to its own part: a wrong clock moves the sends of a box by as
-// much, and one that doesn't know the others takes the part of one of many.
+// The boxes agree as long as they know the same boxes and the same time. Otherwise each
+// still keeps to its own share: a wrong clock shifts the sends of a box by the same
+// amount, and a box that doesn't know the others takes the share of one of many.
 package rate
 
 import (
@@ -25,37 +25,38 @@
 )
 
 const (
-	// shortest and longest bound a window. The shortest keeps any four seconds to
-	// nine windows, so that the fleet sends at most 1.13 times the rate in them; the
-	// longest is how often at least one send goes to a target that takes none.
-	shortest = 500 * time.Millisecond
-	longest  = 4 * time.Second
-	// Least is the lowest rate that is divided, in sends a second: lower ones would
-	// never be found out to have ended.
-	Least = 1 / (float64(longest) / float64(time.Second))
-	// slewShare is how much of the time that has passed the fleet's time may be moved,
-	// and slewMost from which difference on it is set at once. A clock that is set
-	// forth and back would else give out the sends of the same windows several times:
-	// 37 sends in 4 s where 35 are allowed, in one of 7,700 random schedules.
-	slewShare = 0.1
-	slewMost  = 10 * time.Second
-	// unknownBoxes is how many boxes one that doesn't know the others divides by.
+	// minWindow and maxWindow bound the length of a window. With minWindow, any four seconds
+	// overlap at most nine windows, so that the fleet sends at most 1.13 times the rate in
+	// them. maxWindow is the interval of the sends to a target that accepts none.
+	minWindow = 500 * time.Millisecond
+	maxWindow = 4 * time.Second
+	// Least is the lowest effective rate, in sends a second. With a lower one, nobody
+	// would notice that a limit has ended.
+	Least = 1 / (float64(maxWindow) / float64(time.Second))
+	// maxSlewRate is the share of the elapsed time by which the fleet's time may be
+	// adjusted. Differences of stepThreshold or more are applied at once. If all were, a clock
+	// that is set back and forth would hand out the sends of a window several times: 37
+	// sends in 4 s where 35 are allowed, in one of 7,700 random schedules.
+	maxSlewRate   = 0.1
+	stepThreshold = 10 * time.Second
+	// unknownBoxes is the number of boxes that a box assumes if it doesn't know the
+	// others.
 	unknownBoxes = 128
 )
 
-// Fleet is what a box knows of the fleet that a rate is divided by. The zero value
-// is that of a box that knows nothing.
+// Fleet is what a box knows of the boxes that share a rate. The zero value is that of a
+// box that doesn't know the others.
 type Fleet struct {
 	self uint64
-	// boxes holds the hashes of the names of all boxes, this one among them; it is
-	// empty while they aren't known.
+	// boxes holds the hashes of the names of all boxes including this one. It is empty
+	// while they aren't known.
 	boxes []uint64
-	// offset is what is added to the boot clock for the fleet's time.
+	// offset is the fleet's time minus the boot clock.
 	offset time.Duration
 }
 
-// NewFleet returns what a box knows: its name, those of all boxes (none while they
-// aren't known), and the fleet's time less the time of its own boot clock.
+// NewFleet returns a Fleet from the box's own name, the names of all boxes (none while
+// they aren't known), and the fleet's time minus the box's boot clock.
 func NewFleet(self string, boxes []string, offset time.Duration) Fleet {
 	f := Fleet{self: xxhash.Sum64String(self), offset: offset}
 	if len(boxes) == 0 {
@@ -71,23 +72,23 @@
 	return f
 }
 
-// Boxes returns how many boxes are known, zero while none are.
+// Boxes returns the number of boxes including this one, zero while they aren't known.
 func (f Fleet) Boxes() int { return len(f.boxes) }
 
-// Offset returns the fleet's time less the time of the boot clock.
+// Offset returns the fleet's time minus the boot clock.
 func (f Fleet) Offset() time.Duration { return f.offset }
 
-// Slew returns the same fleet with its time moved towards an offset, after some time
-// since it last was.
+// Slew returns the fleet with its time adjusted towards a new offset. elapsed is the time
+// since the last adjustment, which bounds this one.
 func (f Fleet) Slew(offset, elapsed time.Duration) Fleet {
-	if most := time.Duration(slewShare * float64(elapsed)); (offset - f.offset).Abs() < slewMost {
+	if most := time.Duration(maxSlewRate * float64(elapsed)); (offset - f.offset).Abs() < stepThreshold {
 		offset = min(max(offset, f.offset-most), f.offset+most)
 	}
 	f.offset = offset
 	return f
 }
 
-// window is a stretch of the fleet's time in which sends belong to boxes.
+// window is an interval of the fleet's time whose sends are assigned to boxes.
 type window struct {
 	index  int64
 	length time.Duration
@@ -95,10 +96,11 @@
 	begins time.Duration
 }
 
-// window returns the present window for a rate: the shortest that holds one send.
+// window returns the current window for a rate. It is the shortest one that holds at
+// least one send, but no longer than maxWindow.
 func (f Fleet) window(perSecond float64, now time.Duration) window {
-	length := shortest
-	for length < longest && perSecond*length.Seconds() < 1 {
+	length := minWindow
+	for length < maxWindow && perSecond*length.Seconds() < 1 {
 		length *= 2
 	}
 	at := now + f.offset
@@ -109,21 +111,22 @@
 	return window{index: index, length: length, begins: time.Duration(index)*length - f.offset}
 }
 
-// Phase returns how far the present one of the shortest windows is, and its length.
+// Phase returns the time since the current window of length minWindow began, and that
+// length.
 func (f Fleet) Phase(now time.Duration) (at, length time.Duration) {
-	return now - f.window(None, now).begins, shortest
+	return now - f.window(None, now).begins, minWindow
 }
 
-// sends is how many sends of a rate belong to the window, over the whole fleet: the
-// whole ones of what has come together by its end and had not by its start.
+// sends returns how many sends the window holds for the whole fleet: the whole sends that
+// have accrued at the rate by its end, less those that had accrued by its start.
 func (w window) sends(perSecond float64) int64 {
-	each := max(Least, perSecond) * w.length.Seconds()
-	return int64(math.Floor(each*float64(w.index+1)) - math.Floor(each*float64(w.index)))
+	perWindow := max(Least, perSecond) * w.length.Seconds()
+	return int64(math.Floor(perWindow*float64(w.index+1)) - math.Floor(perWindow*float64(w.index)))
 }
 
-// part returns how many of a window's sends are this box's, for a key that names
-// what they are sent to.
-func (f Fleet) part(perSecond float64, key uint64, w window) int64 {
+// share returns how many of a window's sends are assigned to this box. key identifies the
+// target, so that the remainder goes to other boxes for other targets.
+func (f Fleet) share(perSecond float64, key uint64, w window) int64 {
 	sends := w.sends(perSecond)
 	draw := hashing.Mix(key ^ hashing.Mix(uint64(w.index)))
 	own := hashing.Mix(f.self ^ draw)
@@ -151,64 +154,66 @@
 	return part
 }
 
-// Meter counts a box's sends to one target against its part of what the target
-// takes. The zero value has counted none. It is not safe for concurrent use.
+// Meter counts a box's sends to one target against the box's share of the target's limit.
+// The zero value has counted none. It is not safe for concurrent use.
 type Meter struct {
 	window window
-	// part is the box's part of the present window, for partOf sends a second.
-	part   int64
-	partOf float64
-	// used is how many sends of the window are gone, owed how many went beyond what
-	// was the box's, to be made up for.
+	// share is the box's share of the current window at a rate of shareRate.
+	share     int64
+	shareRate float64
+	// used counts the sends of the current window that are used up. owed counts those
+	// beyond the box's share, which are taken off later windows.
 	used, owed int64
-	last       time.Duration
-	// next is the window after it, nextPart the box's part of that of nextOf sends a
-	// second: worked out anew for each call that finds no target, it cost 0.5 ms with
-	// 264 targets and 360 boxes.
-	next     window
-	nextPart int64
-	nextOf   float64
+	// last is the time of the last send.
+	last time.Duration
+	// next is the following window, nextShare the box's share of it at a rate of nextRate.
+	// They are cached: computing the share for each call that finds no target cost 0.5 ms
+	// with 264 targets and 360 boxes.
+	next      window
+	nextShare int64
+	nextRate  float64
 }
 
-// unknownUse stands for sends of a window that were not counted in it.
-const unknownUse = math.MaxInt32
+// unknownUsed blocks a window in which an unknown number of sends has been made.
+const unknownUsed = math.MaxInt32
 
-// enter brings the meter to the present window.
-func (m *Meter) enter(f Fleet, perSecond float64, key uint64, now time.Duration) {
+// advance advances the meter to the current window.
+func (m *Meter) advance(f Fleet, perSecond float64, key uint64, now time.Duration) {
 	w := f.window(perSecond, now)
 	same := w.index == m.window.index && w.length == m.window.length
-	if same && perSecond == m.partOf {
+	if same && perSecond == m.shareRate {
 		return
 	}
-	if back := m.window.index - w.index; w.length == m.window.length && back > 0 && back < int64(slewMost/shortest) {
-		// The fleet's time went back a little; the window has been used already.
+	if back := m.window.index - w.index; w.length == m.window.length && back > 0 && back < int64(stepThreshold/minWindow) {
+		// The fleet's time was set back a little, into a window that is used already.
 		return
 	}
 	longer := w.length > m.window.length
-	m.window, m.partOf = w, perSecond
+	m.window, m.shareRate = w, perSecond
 	if perSecond != None {
-		m.part = f.part(perSecond, key, w)
+		m.share = f.share(perSecond, key, w)
 	}
 	switch {
 	case same:
 	case longer && m.last > 0 && w.begins < m.last:
-		// What was sent in the window before shorter ones were left isn't known.
-		m.used = unknownUse
+		// The earlier part of this window was counted in shorter ones, so that the number
+		// of sends in it is not known.
+		m.used = unknownUsed
 	case w.begins > m.last:
 		m.used = 0
-		paid := min(m.owed, m.part)
-		m.owed -= paid
-		m.used += paid
+		repaid := min(m.owed, m.share)
+		m.owed -= repaid
+		m.used += repaid
 	}
 }
 
-// Open tells whether the box may send now at a rate.
+// Open reports whether the box may send at now, if the fleet's rate is perSecond.
 func (m *Meter) Open(f Fleet, perSecond float64, key uint64, now time.Duration) bool {
-	m.enter(f, perSecond, key, now)
-	return m.used < m.part
+	m.advance(f, perSecond, key, now)
+	return m.used < m.share
 }
 
-// Take counts a send now, and tells whether it may go.
+// Take reports whether the box may send at now, and counts the send if so.
 func (m *Meter) Take(f Fleet, perSecond float64, key uint64, now time.Duration) bool {
 	if !m.Open(f, perSecond, key, now) {
 		return false
@@ -218,27 +223,28 @@
 	return true
 }
 
-// Next returns when the next window begins, on the boot clock, and how many of its
-// sends will be the box's, less those that are owed.
+// Next returns when the next window begins, on the boot clock, and the box's share of it
+// less the sends that are owed.
 func (m *Meter) Next(f Fleet, perSecond float64, key uint64, now time.Duration) (begins time.Duration, part int64) {
 	w := f.window(perSecond, now)
 	next := window{index: w.index + 1, length: w.length, begins: w.begins + w.length}
-	if next.index != m.next.index || next.length != m.next.length || perSecond != m.nextOf {
-		m.next, m.nextOf = next, perSecond
-		m.nextPart = f.part(perSecond, key, next)
+	if next.index != m.next.index || next.length != m.next.length || perSecond != m.nextRate {
+		m.next, m.nextRate = next, perSecond
+		m.nextShare = f.share(perSecond, key, next)
 	}
-	return next.begins, max(0, m.nextPart-m.owed)
+	return next.begins, max(0, m.nextShare-m.owed)
 }
 
-// Count counts a send that no rate bounds, so that it is known when one begins to.
+// Count counts a send to a target without a limit, so that it is included if a limit
+// takes effect within the window.
 func (m *Meter) Count(f Fleet, now time.Duration) {
-	m.enter(f, None, 0, now)
+	m.advance(f, None, 0, now)
 	m.used++
 	m.last = now
 }
 
-// Owe counts a send that has to go whether or not it is the box's; one that is not
-// is made up for in later windows.
+// Owe counts a send that must be made even if it exceeds the box's share. In that case it
+// is taken off the shares of later windows.
 func (m *Meter) Owe(f Fleet, perSecond float64, key uint64, now time.Duration) {
 	if !m.Take(f, perSecond, key, now) {
 		m.owed++
--- a/models/rate/schedule_test.go
+++ b/models/rate/schedule_test.go
@@ -19,83 +19,88 @@
 func TestMain(m *testing.M) { seeded.Main(m) }
 
 const (
-	tick   = 20 * time.Millisecond
-	length = 16 * time.Second
-	// toldAfter is how long after a box heard a limit it has to keep to it, excused
-	// how long after it has started anew it need not, and firstKnown how long after a
-	// target first named a limit all need not: what the platform asks of its callers.
-	toldAfter  = 500 * time.Millisecond
-	excused    = 3 * time.Second
-	firstKnown = 3 * time.Second
-	// newsMost is how long news of a limit take to a box at most, unless it is cut
-	// off; a limit that falls can't be kept earlier.
-	newsMost = time.Second
-	settled  = 1500 * time.Millisecond
-	spare    = 5
-	factor   = 1.5
-	span     = 4 * time.Second
+	tick        = 20 * time.Millisecond
+	simDuration = 16 * time.Second
+	// The platform requires its callers to respect limits as follows. complianceDelay is how
+	// long after it has received a limit a box must respect it. restartGrace is how long after
+	// a restart a box need not, and firstLimitGrace how long after the first limit of a target
+	// no box need.
+	complianceDelay = 500 * time.Millisecond
+	restartGrace    = 3 * time.Second
+	firstLimitGrace = 3 * time.Second
+	// maxAnnounceDelay is the longest time that the announcement of a limit takes to a box that
+	// is not cut off. A lowered limit can't be respected earlier.
+	maxAnnounceDelay = time.Second
+	// changeGrace is how long the former, higher limit is still allowed after a change.
+	changeGrace = 1500 * time.Millisecond
+	// In any interval of length checkInterval, limitFactor times the limit and
+	// extraRequests more requests are allowed.
+	extraRequests = 5
+	limitFactor   = 1.5
+	checkInterval = 4 * time.Second
 )
 
-// weakness is a part of the rule that is left out.
-type weakness int
+// omission is a part of the algorithm that is left out.
+type omission int
 
 const (
-	sound weakness = iota
-	// alone: a box divides by itself only.
-	alone
+	complete omission = iota
+	// undivided: the rate is not divided among the boxes.
+	undivided
 	// unaware: a box that doesn't know the others sends as if it were alone.
 	unaware
-	// uncounted: sends of a window aren't counted.
+	// uncounted: the sends of a window are not counted.
 	uncounted
-	// newestArrival: the statement that came last holds.
+	// newestArrival: the statement that arrived last is in force.
 	newestArrival
-	// unsaid: boxes that have not heard of a limit themselves aren't told.
-	unsaid
+	// unannounced: limits are not announced to other boxes.
+	unannounced
 )
 
-// change is from when a target names a limit.
-type change struct {
+// limitChange is a limit that the target states from a time on.
+type limitChange struct {
 	at    time.Duration
 	limit float64
 }
 
-// simBox is one box.
+// simBox is the state of one box.
 type simBox struct {
-	name   string
-	fleet  Fleet
-	knows  bool
-	limit  Limit
-	meter  Meter
-	offset time.Duration
-	// told is when it first heard the limit itself, -1 before.
-	told time.Duration
-	// restarted is when it last started, knownAt when it hears who the others are,
-	// frozen and cut until when it is.
-	restarted, knownAt, frozen, cut time.Duration
-	load                            float64
-	inbox                           []heardAt
+	name        string
+	fleet       Fleet
+	knowsOthers bool
+	limit       Limit
+	meter       Meter
+	offset      time.Duration
+	// firstLimitAt is when the box first received a limit from the target, -1 before.
+	firstLimitAt time.Duration
+	// restarted is when the box last started, and knownAt when it learns the names of the
+	// others. The box is frozen until frozenUntil, and cut off until cutUntil.
+	restarted, knownAt, frozenUntil, cutUntil time.Duration
+	// load is in calls a second.
+	load  float64
+	inbox []receivedStatement
 }
 
-type heardAt struct {
+type receivedStatement struct {
 	at  time.Duration
 	s   Statement
 	own bool
 }
 
-// sim is a fleet before one target.
+// sim simulates a fleet that sends to one target.
 type sim struct {
 	rng     *rand.Rand
-	weak    weakness
+	omitted omission
 	boxes   []*simBox
-	changes []change
+	changes []limitChange
 	names   []string
-	// counted are when requests came of boxes that had to keep to a limit.
-	counted []time.Duration
+	// arrivals are the arrival times of requests of boxes that had to respect the limit.
+	arrivals []time.Duration
 }
 
 const simKey = 77
 
-// at returns what the target names at a time.
+// at returns the limit that the target states at a time.
 func (s *sim) at(t time.Duration) float64 {
 	limit := None
 	for _, c := range s.changes {
@@ -106,78 +111,80 @@
 	return limit
 }
 
-func newSim(seed int64, weak weakness) *sim {
-	s := &sim{rng: rand.New(rand.NewSource(seed)), weak: weak}
+func newSim(seed int64, omitted omission) *sim {
+	s := &sim{rng: rand.New(rand.NewSource(seed)), omitted: omitted}
 	limits := []float64{0, 0.3, 1, 1, 2, 5, 20, 100}
 	n := []int{1, 2, 6, 7, 8, 24, 92}[s.rng.Intn(7)]
 	for i := range n {
 		s.names = append(s.names, fmt.Sprint("box-", i))
 	}
 	for _, name := range s.names {
-		b := &simBox{name: name, told: -1, restarted: -excused, offset: time.Duration(s.rng.Intn(200)-100) * time.Millisecond, load: 2 * s.rng.Float64() * 40 / float64(n)}
+		b := &simBox{name: name, firstLimitAt: -1, restarted: -restartGrace, offset: time.Duration(s.rng.Intn(200)-100) * time.Millisecond, load: 2 * s.rng.Float64() * 40 / float64(n)}
 		b.fleet = NewFleet(name, nil, b.offset+1_000_000*time.Second)
 		s.boxes = append(s.boxes, b)
-		s.inform(b, -1)
+		s.sendNames(b, -1)
 	}
-	for at := 2 * time.Second; at < length; at += time.Duration(3+s.rng.Intn(9)) * time.Second {
+	for at := 2 * time.Second; at < simDuration; at += time.Duration(3+s.rng.Intn(9)) * time.Second {
 		limit := limits[s.rng.Intn(len(limits))]
 		if len(s.changes) > 0 && s.rng.Intn(4) == 0 {
 			limit = None
 		}
-		s.changes = append(s.changes, change{at: at, limit: limit})
+		s.changes = append(s.changes, limitChange{at: at, limit: limit})
 	}
 	return s
 }
 
-// inform tells a box who the others are.
-func (s *sim) inform(b *simBox, now time.Duration) {
+// sendNames sends a box the names of all boxes.
+func (s *sim) sendNames(b *simBox, now time.Duration) {
 	names := s.names
 	switch {
-	case s.weak == alone:
+	case s.omitted == undivided:
 		names = []string{b.name}
 	case now >= 0 && s.rng.Intn(4) == 0:
-		// A box that has just joined is missing until the next report.
+		// One box is missing until the next report, as if it had just joined.
 		names = slices.Delete(slices.Clone(names), 0, 1)
-		b.knownAt = now + time.Duration(s.rng.Int63n(int64(newsMost)))
+		b.knownAt = now + time.Duration(s.rng.Int63n(int64(maxAnnounceDelay)))
 	}
-	b.fleet, b.knows = NewFleet(b.name, names, b.fleet.Offset()), len(names) == len(s.names) || s.weak == alone
+	b.fleet, b.knowsOthers = NewFleet(b.name, names, b.fleet.Offset()), len(names) == len(s.names) || s.omitted == undivided
 }
 
-// disturb brings faults about.
-func (s *sim) disturb(now time.Duration) {
+// injectFault injects a random fault.
+func (s *sim) injectFault(now time.Duration) {
 	b := s.boxes[s.rng.Intn(len(s.boxes))]
 	until := now + time.Duration(500+s.rng.Intn(3000))*time.Millisecond
 	switch s.rng.Intn(6) {
 	case 0:
 		s.restart(b, now, until)
 	case 5:
-		// All start anew, and control is away for long.
+		// All boxes restart, and control is unavailable for a long time.
 		for _, other := range s.boxes {
 			s.restart(other, now, now+time.Duration(s.rng.Intn(10))*time.Second)
 		}
 	case 1:
-		b.frozen = until
+		b.frozenUntil = until
 	case 2:
-		b.cut = until
+		b.cutUntil = until
 	case 3:
-		// The clock of control was set, and boxes hear it one after the other.
+		// The clock of control is set, and the boxes adjust to it.
 		step := time.Duration(s.rng.Intn(2000)-1000) * time.Millisecond
 		for _, other := range s.boxes {
 			other.offset += step
 		}
 	case 4:
-		// Control does not answer: boxes that start anew know nothing for long.
+		// Control does not answer, so that restarted boxes don't learn the names of the
+		// others for a long time.
 		for _, other := range s.boxes {
 			other.knownAt = max(other.knownAt, until)
 		}
 	}
 }
 
-// restart starts a box anew: it knows nothing, and who the others are only later.
+// restart restarts a box. It loses its state, and learns the names of the others at
+// knownAt.
 func (s *sim) restart(b *simBox, now, knownAt time.Duration) {
-	fresh := &simBox{name: b.name, told: -1, restarted: now, knownAt: knownAt, offset: b.offset, load: b.load}
+	fresh := &simBox{name: b.name, firstLimitAt: -1, restarted: now, knownAt: knownAt, offset: b.offset, load: b.load}
 	fresh.fleet = NewFleet(b.name, nil, b.offset+1_000_000*time.Second)
-	if s.weak == unaware || s.weak == alone {
+	if s.omitted == unaware || s.omitted == undivided {
 		fresh.fleet = NewFleet(b.name, []string{b.name}, b.offset+1_000_000*time.Second)
 	}
 	*b = *fresh
@@ -185,13 +192,13 @@
 
 func (s *sim) run() {
 	disturbAt := time.Duration(s.rng.Int63n(int64(4 * time.Second)))
-	for now := time.Duration(0); now < length; now += tick {
+	for now := time.Duration(0); now < simDuration; now += tick {
 		if now >= disturbAt {
-			s.disturb(now)
+			s.injectFault(now)
 			disturbAt = now + time.Duration(500+s.rng.Intn(6000))*time.Millisecond
 		}
 		for _, b := range s.boxes {
-			if now >= b.frozen {
+			if now >= b.frozenUntil {
 				s.step(b, now)
 			}
 		}
@@ -200,8 +207,8 @@
 
 func (s *sim) step(b *simBox, now time.Duration) {
 	b.fleet = b.fleet.Slew(b.offset+1_000_000*time.Second, tick)
-	if !b.knows && now >= b.knownAt {
-		s.inform(b, now)
+	if !b.knowsOthers && now >= b.knownAt {
+		s.sendNames(b, now)
 	}
 	kept := b.inbox[:0]
 	for _, h := range b.inbox {
@@ -209,7 +216,7 @@
 			kept = append(kept, h)
 			continue
 		}
-		s.hear(b, h, now)
+		s.receive(b, h, now)
 	}
 	b.inbox = kept
 	for calls := s.poisson(b.load * tick.Seconds()); calls > 0; calls-- {
@@ -217,25 +224,25 @@
 	}
 }
 
-func (s *sim) hear(b *simBox, h heardAt, now time.Duration) {
+func (s *sim) receive(b *simBox, h receivedStatement, now time.Duration) {
 	if h.own {
 		h.s.Received = now
 	}
-	if h.own && h.s.Limit != None && b.told < 0 {
-		b.told = now
+	if h.own && h.s.Limit != None && b.firstLimitAt < 0 {
+		b.firstLimitAt = now
 	}
 	before := b.limit.Said.Limit
-	if s.weak == newestArrival {
-		b.limit = Limit{Said: h.s, heard: true}
+	if s.omitted == newestArrival {
+		b.limit = Limit{Said: h.s, hasStatement: true}
 	} else {
 		b.limit.Take(h.s)
 	}
-	if !h.own || b.limit.Said.Limit == before && b.limit.heard || now < b.cut || s.weak == unsaid {
+	if !h.own || b.limit.Said.Limit == before && b.limit.hasStatement || now < b.cutUntil || s.omitted == unannounced {
 		return
 	}
 	for _, other := range s.boxes {
-		if other != b && now >= other.cut {
-			other.inbox = append(other.inbox, heardAt{at: now + time.Duration(s.rng.Int63n(int64(newsMost))), s: b.limit.Said})
+		if other != b && now >= other.cutUntil {
+			other.inbox = append(other.inbox, receivedStatement{at: now + time.Duration(s.rng.Int63n(int64(maxAnnounceDelay))), s: b.limit.Said})
 		}
 	}
 }
@@ -247,12 +254,12 @@
 	} else if !b.meter.Take(b.fleet, limit, simKey, now) {
 		return
 	}
-	if s.weak == uncounted {
+	if s.omitted == uncounted {
 		b.meter.used = 0
 	}
 	arrives := now + time.Duration(s.rng.Intn(100))*time.Millisecond
-	if b.told >= 0 && now >= b.told+toldAfter && now >= b.restarted+excused && now >= b.cut+excused && now >= b.frozen+excused {
-		s.counted = append(s.counted, arrives)
+	if b.firstLimitAt >= 0 && now >= b.firstLimitAt+complianceDelay && now >= b.restarted+restartGrace && now >= b.cutUntil+restartGrace && now >= b.frozenUntil+restartGrace {
+		s.arrivals = append(s.arrivals, arrives)
 	}
 	made := arrives + time.Duration(10+s.rng.Intn(200))*time.Millisecond
 	if s.rng.Intn(20) == 0 {
@@ -260,10 +267,10 @@
 	}
 	back := made + time.Duration(1+s.rng.Intn(100))*time.Millisecond
 	if s.rng.Intn(10) == 0 {
-		// The head was written and came late.
+		// The response header was written in time, but arrives late.
 		back += time.Duration(s.rng.Intn(4000)) * time.Millisecond
 	}
-	b.inbox = append(b.inbox, heardAt{at: back, own: true, s: Statement{Limit: s.at(made), Sent: now}})
+	b.inbox = append(b.inbox, receivedStatement{at: back, own: true, s: Statement{Limit: s.at(made), Sent: now}})
 }
 
 func (s *sim) poisson(mean float64) int {
@@ -274,72 +281,72 @@
 	return n
 }
 
-// broken returns the first window with more requests than are allowed, and none when
-// there is none. Where the limit has changed within the time that news take, the
-// highest of that time is allowed.
-func (s *sim) broken() string {
-	slices.Sort(s.counted)
-	allowed := make([]float64, 0, length/tick)
-	for t := time.Duration(0); t < length; t += tick {
+// violation describes the first interval with more requests than allowed, and returns an
+// empty string if there is none. For the time changeGrace after a change of the limit, the
+// highest limit of that time is allowed.
+func (s *sim) violation() string {
+	slices.Sort(s.arrivals)
+	allowed := make([]float64, 0, simDuration/tick)
+	for t := time.Duration(0); t < simDuration; t += tick {
 		most := 0.0
-		for back := time.Duration(0); back <= settled; back += tick {
+		for back := time.Duration(0); back <= changeGrace; back += tick {
 			most = max(most, s.at(t-back))
 		}
-		if t < s.changes[0].at+firstKnown {
+		if t < s.changes[0].at+firstLimitGrace {
 			most = None
 		}
 		allowed = append(allowed, most)
 	}
-	for t := time.Duration(0); t+span < length; t += 5 * tick {
-		sum := float64(spare)
-		for i := t / tick; i < (t+span)/tick; i++ {
-			sum += factor * tick.Seconds() * allowed[i]
+	for t := time.Duration(0); t+checkInterval < simDuration; t += 5 * tick {
+		sum := float64(extraRequests)
+		for i := t / tick; i < (t+checkInterval)/tick; i++ {
+			sum += limitFactor * tick.Seconds() * allowed[i]
 		}
-		first, _ := slices.BinarySearch(s.counted, t)
-		last, _ := slices.BinarySearch(s.counted, t+span)
-		// Sums of parts are exact to far less than a thousandth of a request.
+		first, _ := slices.BinarySearch(s.arrivals, t)
+		last, _ := slices.BinarySearch(s.arrivals, t+checkInterval)
+		// The rounding error of the sum is far below a thousandth of a request.
 		if got := last - first; float64(got) > sum+1e-3 {
-			return fmt.Sprintf("%d requests of %d boxes from %s on in %s, %.1f allowed; limits %v", got, len(s.boxes), t, span, sum, s.changes)
+			return fmt.Sprintf("%d requests of %d boxes, from %s on within %s; %.1f are allowed; limits: %v", got, len(s.boxes), t, checkInterval, sum, s.changes)
 		}
 	}
 	return ""
 }
 
-// Boxes that start anew, freeze, are cut off, miss others in their lists and hear of
-// limits late and out of order, under a target whose limit changes, ends and comes
-// back: over all that had to know, no four seconds hold more requests than one and a
-// half times the limit and five.
+// Boxes restart, freeze, are cut off, don't know all others, and receive limits late and
+// out of order, while the limit of the target changes, ends and comes back. Within any
+// four seconds, the boxes that had to know the limit may send no more than one and a half
+// times the limit, and five requests.
 func TestRandomShares(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		s := newSim(rapid.Int64().Draw(rt, "seed"), sound)
+		s := newSim(rapid.Int64().Draw(rt, "seed"), complete)
 		s.run()
-		if b := s.broken(); b != "" {
+		if b := s.violation(); b != "" {
 			rt.Fatal(b)
 		}
 	})
 }
 
-// Each part of the rule is needed: without it, some schedules break.
+// Each part of the algorithm is needed: some schedules fail if it is left out.
 func TestEachPartOfTheRuleIsNeeded(t *testing.T) {
-	parts := map[string]weakness{
-		"the rate is divided":                    alone,
-		"a box without news is one of many":      unaware,
-		"sends of a window are counted":          uncounted,
-		"a late answer does not outdo a new one": newestArrival,
-		"boxes tell each other":                  unsaid,
+	parts := map[string]omission{
+		"rate is divided": undivided,
+		"box without information takes a small share": unaware,
+		"sends of a window are counted":               uncounted,
+		"late answer does not override a newer one":   newestArrival,
+		"limits are announced to other boxes":         unannounced,
 	}
-	for name, weak := range parts {
+	for name, omitted := range parts {
 		t.Run(name, func(t *testing.T) {
 			const seeds = 1500
 			for seed := range int64(seeds) {
-				s := newSim(seed, weak)
+				s := newSim(seed, omitted)
 				s.run()
-				if s.broken() != "" {
-					t.Logf("seed %d breaks: %s", seed, s.broken())
+				if s.violation() != "" {
+					t.Logf("seed %d fails: %s", seed, s.violation())
 					return
 				}
 			}
-			t.Fatalf("%d schedules hold without it", seeds)
+			t.Fatalf("none of %d schedules fails without this part", seeds)
 		})
 	}
 }
--- a/models/rate/statement.go
+++ b/models/rate/statement.go
@@ -9,35 +9,36 @@
 )
 
 const (
-	// orderMargin is by how much two statements must be apart to be known to follow
-	// each other, where two boxes heard them: their ages were taken at either end of
-	// a message, which took up to 100 ms between regions.
+	// orderMargin is the least distance of two statements whose order is certain. If two
+	// boxes received them, their ages were computed at either end of a message, which
+	// takes up to 100 ms between regions.
 	orderMargin = 100 * time.Millisecond
-	// rampBase is the least rate from which a target whose limit has ended is used
-	// again, doubled each rampTime, until it takes rampEnd sends a second: all boxes
-	// at once would else send it what they hold back, as the least loaded of all.
-	rampBase = 1.0
-	rampTime = time.Second
-	rampEnd  = 512.0
+	// After the end of a limit the rate starts at the former limit, at least minRampStart,
+	// and doubles every rampDoubling until it reaches rampEnd sends a second. Otherwise all
+	// boxes would send their waiting calls to the target at once, since it has the least
+	// load.
+	minRampStart = 1.0
+	rampDoubling = time.Second
+	rampEnd      = 512.0
 )
 
-// None is the limit of a target that names none.
+// None is the limit of a target that has not stated any.
 var None = math.Inf(1)
 
-// Statement is what a target said of the sends that it takes from all boxes.
+// Statement is a target's statement of how many sends it accepts from all boxes together.
 type Statement struct {
 	// Limit is in sends a second, None for no limit.
 	Limit float64
-	// The target made the statement after Sent, when the call was sent to which it
-	// answered, and before Received; both on the clock of the box that knows it.
+	// The target made the statement between Sent, when the call was sent that it
+	// answered, and Received. Both are on the clock of the box that holds the statement.
 	Sent, Received time.Duration
 }
 
-// after tells whether a statement was surely made after another one.
+// after reports whether a statement was certainly made after another one.
 func (s Statement) after(other Statement) bool { return s.Sent >= other.Received+orderMargin }
 
-// Merge returns which of two statements holds: the later one, and of two of which
-// either may be the later one the lower.
+// Merge returns the statement that is in force of two: the later one, or the lower one if
+// their order is uncertain.
 func (s Statement) Merge(other Statement) Statement {
 	switch {
 	case other.after(s):
@@ -51,47 +52,48 @@
 	}
 }
 
-// Limit is what holds for a target: its last statement, and, for a while after it
-// has named no limit any more, how fast it is used again. The zero value is that of
-// a target of which nothing was heard.
+// Limit is the limit in force for a target: that of its last statement or, for a while
+// after a limit has ended, the rising rate at which the target is used again. The zero
+// value is that of a target that has made no statement.
 type Limit struct {
-	Said  Statement
-	heard bool
-	// was is the limit that ended, zero when none did.
-	was float64
+	Said         Statement
+	hasStatement bool
+	// rampStart is the rate at which the ramp starts after the end of a limit, zero if there
+	// is no ramp.
+	rampStart float64
 }
 
-// Take takes a statement in and tells whether another limit holds now.
+// Take records a statement and reports whether the stated limit in force has changed.
 func (l *Limit) Take(s Statement) bool {
-	if !l.heard {
-		l.heard, l.Said = true, s
+	if !l.hasStatement {
+		l.hasStatement, l.Said = true, s
 		return s.Limit != None
 	}
 	before := l.Said.Limit
 	l.Said = l.Said.Merge(s)
 	switch {
 	case l.Said.Limit != None:
-		l.was = 0
+		l.rampStart = 0
 	case before != None:
-		l.was = max(rampBase, before)
+		l.rampStart = max(minRampStart, before)
 	}
 	return l.Said.Limit != before
 }
 
-// Now returns the sends a second that the target gets from the fleet at present,
-// None when it has no limit.
+// Now returns how many sends a second the target gets from the whole fleet at now, None
+// if there is no limit.
 func (l *Limit) Now(now time.Duration) float64 {
 	switch {
-	case !l.heard:
+	case !l.hasStatement:
 		return None
 	case l.Said.Limit != None:
 		return max(Least, l.Said.Limit)
-	case l.was == 0:
+	case l.rampStart == 0:
 		return None
 	}
-	rate := l.was * math.Exp2(float64((now-l.Said.Received)/rampTime))
+	rate := l.rampStart * math.Exp2(float64((now-l.Said.Received)/rampDoubling))
 	if rate >= rampEnd {
-		l.was = 0
+		l.rampStart = 0
 		return None
 	}
 	return rate
