--- a/models/routing/delta.go
+++ b/models/routing/delta.go
@@ -12,50 +12,51 @@
 	statev1 "havenwinch.dev/havenwinch/gen/havenwinch/state/v1"
 )
 
-// place is what tells the routes of a table apart.
-func place(r *statev1.Route) string { return strings.ToLower(r.GetHost()) + r.GetPathPrefix() }
+// routeKey returns the key of a route, which is unique within a table.
+func routeKey(r *statev1.Route) string { return strings.ToLower(r.GetHost()) + r.GetPathPrefix() }
 
 func serviceName(s *statev1.Service) string { return s.GetName() }
 
 func payerName(p *statev1.Payer) string { return p.GetOrganisation() }
 
-// Diff returns what makes a later table out of an earlier one, without its
-// source.
+// Diff returns the delta between two versions of a table. The source of the table is not
+// part of it.
 func Diff(from, to *statev1.RoutingTable) *statev1.RoutingDelta {
 	d := &statev1.RoutingDelta{Base: from.GetVersion(), Changed: &statev1.RoutingTable{Version: to.GetVersion(), Limits: to.GetLimits()}}
-	d.Changed.Routes, d.GoneRoutes = diffRows(from.GetRoutes(), to.GetRoutes(), place)
+	d.Changed.Routes, d.GoneRoutes = diffRows(from.GetRoutes(), to.GetRoutes(), routeKey)
 	d.Changed.Services, d.GoneServices = diffRows(from.GetServices(), to.GetServices(), serviceName)
 	d.Changed.Payers, d.GonePayers = diffRows(from.GetPayers(), to.GetPayers(), payerName)
 	return d
 }
 
-// row is a row of a table; rows are replaced and never changed, so the same
-// pointer is the same row.
+// row is a row of a table. Rows are replaced and never modified, so that equal pointers
+// mean equal rows.
 type row interface {
 	comparable
 	proto.Message
 }
 
 func diffRows[R row](from, to []R, key func(R) string) (changed []R, gone []string) {
-	old := make(map[string]R, len(from))
+	remaining := make(map[string]R, len(from))
 	for _, r := range from {
-		old[key(r)] = r
+		remaining[key(r)] = r
 	}
 	for _, r := range to {
-		former, known := old[key(r)]
-		if !known || former != r && !proto.Equal(former, r) {
+		old, exists := remaining[key(r)]
+		if !exists || old != r && !proto.Equal(old, r) {
 			changed = append(changed, r)
 		}
-		delete(old, key(r))
+		delete(remaining, key(r))
 	}
-	for name := range old {
+	for name := range remaining {
 		gone = append(gone, name)
 	}
 	return changed, gone
 }
 
-// Patch returns the later table. Rows that have not changed are shared with the
-// earlier one; the order of rows is of no meaning.
+// Patch applies a delta to the table it was made for, and fails with ErrOutOfStep for any
+// other version. Unchanged rows are shared with the earlier table. The order of rows has
+// no meaning and may change.
 func Patch(from *statev1.RoutingTable, d *statev1.RoutingDelta) (*statev1.RoutingTable, error) {
 	if from.GetVersion() != d.GetBase() {
 		return nil, errors.WithStack(ErrOutOfStep{Has: from.GetVersion(), Base: d.GetBase()})
@@ -63,7 +64,7 @@
 	return &statev1.RoutingTable{
 		Version:  d.GetChanged().GetVersion(),
 		Limits:   d.GetChanged().GetLimits(),
-		Routes:   patchRows(from.GetRoutes(), d.GetChanged().GetRoutes(), d.GetGoneRoutes(), place),
+		Routes:   patchRows(from.GetRoutes(), d.GetChanged().GetRoutes(), d.GetGoneRoutes(), routeKey),
 		Services: patchRows(from.GetServices(), d.GetChanged().GetServices(), d.GetGoneServices(), serviceName),
 		Payers:   patchRows(from.GetPayers(), d.GetChanged().GetPayers(), d.GetGonePayers(), payerName),
 	}, nil
@@ -86,14 +87,15 @@
 	return append(rows, changed...)
 }
 
-// ErrOutOfStep says that changes belong to another table than the one held.
+// ErrOutOfStep is returned by Patch for a delta whose base is another version than that
+// of the table. Has is the version of the table, Base that of the delta.
 type ErrOutOfStep struct{ Has, Base uint64 }
 
 func (e ErrOutOfStep) Error() string {
 	return "the changes belong to another version of the routing table: ask for the whole table"
 }
 
-// IsErrOutOfStep tells whether an error is an ErrOutOfStep.
+// IsErrOutOfStep reports whether the cause of an error is an ErrOutOfStep.
 func IsErrOutOfStep(err error) bool {
 	_, ok := errors.Cause(err).(ErrOutOfStep)
 	return ok
--- a/models/routing/delta_test.go
+++ b/models/routing/delta_test.go
@@ -17,7 +17,7 @@
 	statev1 "havenwinch.dev/havenwinch/gen/havenwinch/state/v1"
 )
 
-// randomTable draws a table with few names, so that tables share rows.
+// randomTable draws a table from few names, so that different tables have rows in common.
 func randomTable(rt *rapid.T, version uint64) *statev1.RoutingTable {
 	t := &statev1.RoutingTable{Version: version, Limits: &statev1.CallerLimits{}}
 	for n := range 6 {
@@ -34,10 +34,10 @@
 	return t
 }
 
-// sorted returns a copy whose rows stand in one order.
-func sorted(t *statev1.RoutingTable) *statev1.RoutingTable {
+// sortedTable returns a copy with sorted rows.
+func sortedTable(t *statev1.RoutingTable) *statev1.RoutingTable {
 	c := proto.CloneOf(t)
-	slices.SortFunc(c.Routes, func(a, b *statev1.Route) int { return strings.Compare(place(a), place(b)) })
+	slices.SortFunc(c.Routes, func(a, b *statev1.Route) int { return strings.Compare(routeKey(a), routeKey(b)) })
 	slices.SortFunc(c.Payers, func(a, b *statev1.Payer) int { return strings.Compare(a.Organisation, b.Organisation) })
 	slices.SortFunc(c.Services, func(a, b *statev1.Service) int { return strings.Compare(a.Name, b.Name) })
 	return c
@@ -45,32 +45,32 @@
 
 func TestRandomPatchesMakeTheLaterTable(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		held := randomTable(rt, 1)
+		current := randomTable(rt, 1)
 		for version := uint64(2); version < 6; version++ {
 			next := randomTable(rt, version)
-			patched, err := Patch(held, Diff(held, next))
+			patched, err := Patch(current, Diff(current, next))
 			if err != nil {
 				rt.Fatal(err)
 			}
-			if diff := cmp.Diff(sorted(next), sorted(patched), protocmp.Transform()); diff != "" {
+			if diff := cmp.Diff(sortedTable(next), sortedTable(patched), protocmp.Transform()); diff != "" {
 				rt.Fatal(diff)
 			}
-			held = patched
+			current = patched
 		}
 	})
 }
 
-func TestDiffHoldsOnlyWhatChanged(t *testing.T) {
+func TestDiffContainsOnlyChanges(t *testing.T) {
 	from := &statev1.RoutingTable{Version: 1, Routes: []*statev1.Route{{Name: "a", PathPrefix: "/a/"}, {Name: "b", PathPrefix: "/b/"}, {Name: "c", PathPrefix: "/c/"}}}
 	to := &statev1.RoutingTable{Version: 2, Routes: []*statev1.Route{{Name: "a", PathPrefix: "/a/"}, {Name: "b", PathPrefix: "/b/", Timeout: 5}}}
 	d := Diff(from, to)
 	if len(d.GetChanged().GetRoutes()) != 1 || d.GetChanged().GetRoutes()[0].GetName() != "b" || len(d.GetGoneRoutes()) != 1 {
-		t.Fatalf("%v", d)
+		t.Fatalf("got delta %v, want one changed and one removed route", d)
 	}
 }
 
-func TestPatchOfAnotherTableIsRefused(t *testing.T) {
+func TestPatchRejectsOtherBaseVersion(t *testing.T) {
 	if _, err := Patch(&statev1.RoutingTable{Version: 4}, &statev1.RoutingDelta{Base: 3}); !IsErrOutOfStep(err) {
-		t.Fatalf("%v", err)
+		t.Fatalf("got error %v, want ErrOutOfStep", err)
 	}
 }
--- a/models/routing/routing.go
+++ b/models/routing/routing.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package routing decides where calls go that are passed through unchanged:
-// it checks a routing table as a whole and finds the route, the payer and the
-// service of a call.
+// Package routing validates routing tables, and finds the route, the payer and the service
+// of calls that are forwarded unchanged. It also computes and applies the differences
+// between versions of a table.
 package routing
 
 import (
@@ -16,7 +16,7 @@
 	statev1 "havenwinch.dev/havenwinch/gen/havenwinch/state/v1"
 )
 
-// ErrInvalid names a field of a routing table that can't be put in force.
+// ErrInvalid describes an invalid field of a routing table, and how to correct it.
 type ErrInvalid struct {
 	Field  string
 	Remedy string
@@ -24,7 +24,7 @@
 
 func (e ErrInvalid) Error() string { return e.Field + ": " + e.Remedy }
 
-// IsErrInvalid tells whether an error is an ErrInvalid.
+// IsErrInvalid reports whether the cause of an error is an ErrInvalid.
 func IsErrInvalid(err error) bool {
 	_, ok := errors.Cause(err).(ErrInvalid)
 	return ok
@@ -34,7 +34,7 @@
 	return errors.WithStack(ErrInvalid{Field: field, Remedy: fmt.Sprintf(remedy, args...)})
 }
 
-// Check returns why a table can't be put in force, nil when it can.
+// Check validates a routing table. It returns an ErrInvalid for the first invalid field.
 func Check(t *statev1.RoutingTable) error {
 	if t.GetVersion() == 0 {
 		return invalid("version", "must be a whole number above zero")
@@ -53,7 +53,7 @@
 }
 
 func checkRoutes(t *statev1.RoutingTable, services map[string]bool) error {
-	places := map[string]string{}
+	names := map[string]string{}
 	for i, r := range t.GetRoutes() {
 		field := fmt.Sprintf("routes[%d]", i)
 		if !strings.HasPrefix(r.GetPathPrefix(), "/") || !strings.HasSuffix(r.GetPathPrefix(), "/") {
@@ -65,11 +65,11 @@
 		if r.GetTimeout() == 0 {
 			return invalid(field+".timeout", "must be above zero")
 		}
-		place := strings.ToLower(r.GetHost()) + r.GetPathPrefix()
-		if other, taken := places[place]; taken {
+		key := strings.ToLower(r.GetHost()) + r.GetPathPrefix()
+		if other, taken := names[key]; taken {
 			return invalid(field, "routes %s and %s share a host and a path prefix: remove one", other, r.GetName())
 		}
-		places[place] = r.GetName()
+		names[key] = r.GetName()
 		if err := checkSplits(field, r, services); err != nil {
 			return err
 		}
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// Index finds routes and payers of one table. It is immutable.
+// Index finds the routes, payers and services of one table. It is immutable.
 type Index struct {
 	Table    *statev1.RoutingTable
 	hosts    map[string][]*statev1.Route
@@ -118,7 +118,7 @@
 	services map[string]*statev1.Service
 }
 
-// NewIndex returns an index of a table that Check accepts.
+// NewIndex returns an index of a table, which must be valid (Check).
 func NewIndex(t *statev1.RoutingTable) *Index {
 	x := &Index{
 		Table:    t,
@@ -144,7 +144,8 @@
 	return x
 }
 
-// Route returns the route of a host with the longest prefix of a path.
+// Route returns the route of a host with the longest matching path prefix, nil if there is
+// none. The case and the port of the host are ignored.
 func (x *Index) Route(host, path string) *statev1.Route {
 	host = strings.ToLower(host)
 	if name, _, hasPort := strings.Cut(host, ":"); hasPort {
@@ -158,38 +159,38 @@
 	return nil
 }
 
-// Payer returns who holds a key, nil when nobody does.
+// Payer returns the payer that a key belongs to, nil for an unknown key.
 func (x *Index) Payer(key string) *statev1.Payer { return x.payers[key] }
 
-// NeedsKeys tells whether calls need a key at all.
+// NeedsKeys reports whether calls need a key, which is the case once the table has payers.
 func (x *Index) NeedsKeys() bool { return len(x.Table.GetPayers()) > 0 }
 
-// Service returns a service by name.
+// Service returns the service with the given name, nil if there is none.
 func (x *Index) Service(name string) *statev1.Service { return x.services[name] }
 
-// Pick returns the service of a call by the route's weights; draw is a number
-// from zero up to one.
+// Pick chooses the service of a call by the weights of the route. draw is a random number
+// in [0, 1).
 func Pick(r *statev1.Route, draw float64) string {
 	sum := 0.0
 	for _, s := range r.GetSplits() {
 		sum += float64(s.GetWeight())
 	}
-	at := draw * sum
+	left := draw * sum
 	last := ""
 	for _, s := range r.GetSplits() {
 		if s.GetWeight() == 0 {
 			continue
 		}
 		last = s.GetService()
-		if at < float64(s.GetWeight()) {
+		if left < float64(s.GetWeight()) {
 			break
 		}
-		at -= float64(s.GetWeight())
+		left -= float64(s.GetWeight())
 	}
 	return last
 }
 
-// Repeatable tells whether a call of the route may run more than once.
+// Repeatable reports whether a call of the route may be executed more than once.
 func Repeatable(r *statev1.Route) bool {
 	return r.GetKind() == statev1.Route_KIND_SAFE || r.GetKind() == statev1.Route_KIND_STREAM && r.GetResumable()
 }
--- a/models/routing/routing_test.go
+++ b/models/routing/routing_test.go
@@ -13,7 +13,7 @@
 	statev1 "havenwinch.dev/havenwinch/gen/havenwinch/state/v1"
 )
 
-func sound() *statev1.RoutingTable {
+func validTable() *statev1.RoutingTable {
 	return &statev1.RoutingTable{
 		Version:  3,
 		Services: []*statev1.Service{{Name: "s1"}, {Name: "s2"}},
@@ -27,26 +27,26 @@
 
 func TestCheck(t *testing.T) {
 	cases := map[string]struct {
-		spoil func(t *statev1.RoutingTable)
-		field string
+		modify func(t *statev1.RoutingTable)
+		field  string
 	}{
-		"sound":              {spoil: func(*statev1.RoutingTable) {}},
-		"no version":         {spoil: func(t *statev1.RoutingTable) { t.Version = 0 }, field: "version"},
-		"unknown service":    {spoil: func(t *statev1.RoutingTable) { t.Routes[0].Splits[0].Service = "none" }, field: "routes[0].service"},
-		"same place":         {spoil: func(t *statev1.RoutingTable) { t.Routes[1].PathPrefix = "/a/" }, field: "routes[1]"},
-		"no weight":          {spoil: func(t *statev1.RoutingTable) { t.Routes[0].Splits[0].Weight = 0 }, field: "routes[0].weight"},
-		"no split":           {spoil: func(t *statev1.RoutingTable) { t.Routes[0].Splits = nil }, field: "routes[0].weight"},
-		"no time":            {spoil: func(t *statev1.RoutingTable) { t.Routes[1].Timeout = 0 }, field: "routes[1].timeout"},
-		"no kind":            {spoil: func(t *statev1.RoutingTable) { t.Routes[1].Kind = 0 }, field: "routes[1].kind"},
-		"prefix without end": {spoil: func(t *statev1.RoutingTable) { t.Routes[1].PathPrefix = "/a/b" }, field: "routes[1].path_prefix"},
-		"shared key":         {spoil: func(t *statev1.RoutingTable) { t.Payers[1].Keys = []string{"k1"} }, field: "organisations[1].keys"},
-		"same organisation":  {spoil: func(t *statev1.RoutingTable) { t.Payers[1].Organisation = "o1" }, field: "organisations[1].name"},
-		"same service":       {spoil: func(t *statev1.RoutingTable) { t.Services[1].Name = "s1" }, field: "services[1].name"},
+		"valid":              {modify: func(*statev1.RoutingTable) {}},
+		"no version":         {modify: func(t *statev1.RoutingTable) { t.Version = 0 }, field: "version"},
+		"unknown service":    {modify: func(t *statev1.RoutingTable) { t.Routes[0].Splits[0].Service = "none" }, field: "routes[0].service"},
+		"same host and path": {modify: func(t *statev1.RoutingTable) { t.Routes[1].PathPrefix = "/a/" }, field: "routes[1]"},
+		"no weight":          {modify: func(t *statev1.RoutingTable) { t.Routes[0].Splits[0].Weight = 0 }, field: "routes[0].weight"},
+		"no split":           {modify: func(t *statev1.RoutingTable) { t.Routes[0].Splits = nil }, field: "routes[0].weight"},
+		"no timeout":         {modify: func(t *statev1.RoutingTable) { t.Routes[1].Timeout = 0 }, field: "routes[1].timeout"},
+		"no kind":            {modify: func(t *statev1.RoutingTable) { t.Routes[1].Kind = 0 }, field: "routes[1].kind"},
+		"no trailing slash":  {modify: func(t *statev1.RoutingTable) { t.Routes[1].PathPrefix = "/a/b" }, field: "routes[1].path_prefix"},
+		"shared key":         {modify: func(t *statev1.RoutingTable) { t.Payers[1].Keys = []string{"k1"} }, field: "organisations[1].keys"},
+		"organisation twice": {modify: func(t *statev1.RoutingTable) { t.Payers[1].Organisation = "o1" }, field: "organisations[1].name"},
+		"service twice":      {modify: func(t *statev1.RoutingTable) { t.Services[1].Name = "s1" }, field: "services[1].name"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			table := proto.CloneOf(sound())
-			c.spoil(table)
+			table := proto.CloneOf(validTable())
+			c.modify(table)
 			err := Check(table)
 			if c.field == "" {
 				if err != nil {
@@ -63,14 +63,14 @@
 }
 
 func TestIndex(t *testing.T) {
-	x := NewIndex(sound())
+	x := NewIndex(validTable())
 	cases := map[string]struct{ host, path, route string }{
 		"longest prefix":    {host: "h.example", path: "/a/b/c", route: "ab"},
 		"shorter prefix":    {host: "h.example", path: "/a/bc", route: "a"},
-		"case of the host":  {host: "H.EXAMPLE", path: "/a/x", route: "a"},
-		"port of the host":  {host: "h.example:80", path: "/a/x", route: "a"},
-		"the prefix itself": {host: "h.example", path: "/a/", route: "a"},
-		"without its slash": {host: "h.example", path: "/a"},
+		"host in capitals":  {host: "H.EXAMPLE", path: "/a/x", route: "a"},
+		"host with port":    {host: "h.example:80", path: "/a/x", route: "a"},
+		"prefix only":       {host: "h.example", path: "/a/", route: "a"},
+		"no trailing slash": {host: "h.example", path: "/a"},
 		"another host":      {host: "x.example", path: "/a/b/"},
 	}
 	for name, c := range cases {
@@ -81,23 +81,23 @@
 		})
 	}
 	if x.Payer("k2").GetOrganisation() != "o1" || x.Payer("none") != nil || !x.NeedsKeys() {
-		t.Fatal("keys are not found as the table says")
+		t.Fatal("index does not find the payers of keys as in the table")
 	}
 }
 
 func TestPickFollowsWeights(t *testing.T) {
-	r := sound().GetRoutes()[1]
+	r := validTable().GetRoutes()[1]
 	counts := map[string]int{}
 	const draws = 1000
 	for i := range draws {
 		counts[Pick(r, float64(i)/draws)]++
 	}
 	if counts["s1"] != 900 || counts["s2"] != 100 {
-		t.Fatalf("counts %v", counts)
+		t.Fatalf("services were picked %v times, want 900 and 100", counts)
 	}
 	r.Splits[1].Weight = 0
 	if got := Pick(r, 0.999999); got != "s1" {
-		t.Fatalf("a service without weight was picked: %s", got)
+		t.Fatalf("picked %s, which has no weight", got)
 	}
 }
 
