--- a/models/quarantine/table.go
+++ b/models/quarantine/table.go
@@ -58,7 +58,7 @@
 // the same table. Rows are replaced, never modified. It is not safe for concurrent use.
 type Table struct {
 	rows map[Content]*statev1.QuarantinedCall
-	// listed are the rows that are sent to all boxes, with marks (Mark) in place of the
+	// listed are the rows that are sent to all boxes, with short digests in place of the
 	// names of targets. revision increases with their changes.
 	listed   map[Content]*statev1.QuarantinedCall
 	revision uint64
--- a/models/quarantine/unlisted.go
+++ b/models/quarantine/unlisted.go
@@ -54,7 +54,7 @@
 func (u *Unlisted) Has(c Content) bool { return u.calls[c] != nil }
 
 // Add records the end of a target during a call. listed is control's row of the call
-// with its time on the boot clock (OnClock), nil if there is none.
+// with its time on the boot clock, nil if there is none.
 func (u *Unlisted) Add(c Content, target string, weight uint32, listed *statev1.QuarantinedCall, now time.Duration) {
 	call := u.calls[c]
 	if call == nil {
--- a/models/routing/routing.go
+++ b/models/routing/routing.go
@@ -118,7 +118,7 @@
 	services map[string]*statev1.Service
 }
 
-// NewIndex returns an index of a table, which must be valid (Check).
+// NewIndex returns an index of a table, which must be valid.
 func NewIndex(t *statev1.RoutingTable) *Index {
 	x := &Index{
 		Table:    t,
--- a/models/spread/limits.go
+++ b/models/spread/limits.go
@@ -12,8 +12,8 @@
 
 // A target may state how many requests a second it accepts from all boxes together.
 // Package rate allots this box a share, which covers every kind of request. Choose
-// offers such a target only while the share is not used up, and Take checks again for
-// each request that is sent.
+// offers such a target only while the share is not used up, and the share is checked
+// again for each request that is sent.
 
 const (
 	// significantChange is the relative change from which on a limit is announced to other
@@ -48,10 +48,11 @@
 // this box from sending.
 type Want struct {
 	// Wait is how long the call is to wait for a reserved place in the next window;
-	// Table.Waited must be called afterwards. Zero means that the call is refused.
+	// the end of the wait must be reported to the table. Zero means that the call is
+	// refused.
 	Wait time.Duration
-	// A refused call may be retried after Earliest. Retries of several calls are to be
-	// spread over the time Spread after that.
+	// A refused call may be retried after the first of these times. Retries of several
+	// calls are to be spread over the second one, which follows the first.
 	Earliest, Spread time.Duration
 }
 
@@ -253,5 +254,5 @@
 	return at, part
 }
 
-// Waited records that a call has ended its wait for the next window (Want.Wait).
+// Waited records that a call has ended its wait for the next window.
 func (tb *Table) Waited(service string) { tb.pressure[service].waiting-- }
--- a/models/spread/spread.go
+++ b/models/spread/spread.go
@@ -42,8 +42,8 @@
 )
 
 // Target is one start (one run of the process) of a registered target, as this box
-// sees it. ID, Born, Service, Address and DataCentre never change, so that calls may
-// read them without the table's lock. A target that has moved or restarted gets a new
+// sees it. Its id, start time, service, address and data centre never change, so that
+// calls may read them without the table's lock. A target that has moved or restarted gets a new
 // Target, which inherits nothing.
 type Target struct {
 	ID string
@@ -190,7 +190,7 @@
 	Pause time.Duration
 	// Boxes is how many boxes send calls. Each sees only its own.
 	Boxes int
-	// Exclude names the starts of targets (Target.Start) that have had the call.
+	// Exclude names the starts of targets that have had the call.
 	Exclude map[string]bool
 	// Rank is the urgency of the call, zero being the most urgent. Patience is how long
 	// it may wait for a target whose limit is used up.
@@ -204,10 +204,10 @@
 	Target *Target
 	// Apart is set if the prompt is long and Target is dedicated to long prompts.
 	Apart bool
-	// Readers are the dedicated targets to ask for their queues, if Apart is set.
+	// Readers are the dedicated targets to ask for their queues, for a long prompt.
 	Readers []*Target
-	// Home is the target that the call would have had if it weren't Apart; nil for
-	// other calls.
+	// Home is the target that a long prompt would have had without dedicated targets; nil
+	// for other calls.
 	Home *Target
 	// Source is the target from which the cache of the shared prefix can be copied, nil
 	// if that is Target itself or the prompt has no shared prefix.
@@ -215,9 +215,9 @@
 	// Reading is the expected prefill time of the prompt, zero if unknown.
 	Reading time.Duration
 	// Limited counts the targets whose limits keep this box from sending to them now.
-	// If there are no others, Want says what to do with the call.
 	Limited int
-	Want    Want
+	// Want says what to do with the call if there are no others.
+	Want Want
 }
 
 // Choose returns the target for a call. Draining targets are never chosen, and banned
