--- a/models/spread/limits.go
+++ b/models/spread/limits.go
@@ -90,7 +90,7 @@
 
 // Heard records a statement that a target made to this box. It reports whether the
 // limit has been queued for announcement to the other boxes.
-func (tb *Table) Heard(t *Target, s rate.Statement) (news bool) {
+func (tb *Table) Heard(t *Target, s rate.Statement) (announce bool) {
 	t.limit.Take(s)
 	if t.limit.Said != s {
 		return false
@@ -121,11 +121,11 @@
 func (tb *Table) queueAnnouncement(t *Target) bool {
 	limit := t.limit.Said.Limit
 	t.hasStatedLimit = t.hasStatedLimit || limit != rate.None
-	news := t.hasStatedLimit
+	announce := t.hasStatedLimit
 	if t.isPeerLimitKnown {
-		news = isSignificantChange(t.peerLimit, limit)
+		announce = isSignificantChange(t.peerLimit, limit)
 	}
-	if t.unannounced || !news {
+	if t.unannounced || !announce {
 		return false
 	}
 	t.unannounced = true
--- a/models/spread/prefill_test.go
+++ b/models/spread/prefill_test.go
@@ -157,9 +157,9 @@
 // Targets are dedicated to long prompts only while streams suffer from these.
 func TestDedicatedTargetsDependOnStreams(t *testing.T) {
 	steps := []struct {
-		name  string
-		every int
-		apart bool
+		name        string
+		every       int
+		isDedicated bool
 	}{
 		{"many streams suffer", 5, true},
 		{"few suffer with dedicated targets", 50, true},
@@ -171,7 +171,7 @@
 	for _, step := range steps {
 		recordStreams(tb, step.every)
 		tb.Choose(longPrompt(1), 0)
-		if c := tb.Choose(longPrompt(1), 0); c.Apart != step.apart {
+		if c := tb.Choose(longPrompt(1), 0); c.Apart != step.isDedicated {
 			t.Fatalf("%s: long prompt on a dedicated target: %v", step.name, c.Apart)
 		}
 	}
--- a/services/quarantine/fatal_test.go
+++ b/services/quarantine/fatal_test.go
@@ -34,27 +34,27 @@
 func TestTargetsThatEndUnderACall(t *testing.T) {
 	c := quarantine.Content{7}
 	cases := map[string]struct {
-		play func(w *testCluster) int
+		run func(w *testCluster) int
 		// perBox is how many targets may end for each box, extra how many beyond these.
 		perBox, extra int
 	}{
-		"immediate reports and lists": {play: func(w *testCluster) int {
+		"immediate reports and lists": {run: func(w *testCluster) int {
 			return w.sendFatalCall(c, func(int, int) { w.exchangeAll() })
 		}, extra: 3},
-		"immediate reports, no lists": {play: func(w *testCluster) int {
+		"immediate reports, no lists": {run: func(w *testCluster) int {
 			return w.sendFatalCall(c, func(b, _ int) { w.sendReport(b) })
 		}, perBox: 3},
-		"control unreachable, no end known": {play: func(w *testCluster) int {
+		"control unreachable, no end known": {run: func(w *testCluster) int {
 			w.setCut(true)
 			return w.sendFatalCall(c, func(int, int) {})
 		}, perBox: 3},
-		"control unreachable, two ends known": {play: func(w *testCluster) int {
+		"control unreachable, two ends known": {run: func(w *testCluster) int {
 			w.endTargets(0, c, "a", "b")
 			w.exchangeAll()
 			w.setCut(true)
 			return w.sendFatalCall(c, func(int, int) {}) + 2
 		}, perBox: 1, extra: 2},
-		"control unreachable, one box restarts after its second end": {play: func(w *testCluster) int {
+		"control unreachable, one box restarts after its second end": {run: func(w *testCluster) int {
 			w.setCut(true)
 			ends, restarted := 0, false
 			return w.sendFatalCall(c, func(b, _ int) {
@@ -67,7 +67,7 @@
 				}
 			})
 		}, perBox: 3, extra: 2},
-		"ends that exceed a report, then control is reachable": {play: func(w *testCluster) int {
+		"ends that exceed a report, then control is reachable": {run: func(w *testCluster) int {
 			w.setCut(true)
 			w.endTargets(0, c, "a", "b", "c")
 			for n := range maxQueued {
@@ -82,7 +82,7 @@
 		for _, boxes := range []int{6, 360} {
 			t.Run(fmt.Sprintf("%s, %d boxes", name, boxes), func(t *testing.T) {
 				w := newTestCluster(t, boxes)
-				got, want := c.play(w), c.perBox*boxes+c.extra
+				got, want := c.run(w), c.perBox*boxes+c.extra
 				t.Logf("%d targets ended", got)
 				if got > want {
 					t.Errorf("%d targets ended, want at most %d", got, want)
--- a/services/quarantine/orders_test.go
+++ b/services/quarantine/orders_test.go
@@ -184,10 +184,10 @@
 			w.deliver(0, w.listFor(0))
 		},
 	}
-	for name, play := range cases {
+	for name, run := range cases {
 		t.Run(name, func(t *testing.T) {
 			w := newTestCluster(t, 2)
-			play(w)
+			run(w)
 			if !w.isHeld(w.boxes[0], c) {
 				t.Error("call is not held back")
 			}
@@ -293,10 +293,10 @@
 			w.endTargets(0, c, "t3")
 		},
 	}
-	for name, play := range cases {
+	for name, run := range cases {
 		t.Run(name, func(t *testing.T) {
 			w := newTestCluster(t, 2)
-			play(w)
+			run(w)
 			if w.isHeld(w.boxes[0], c) {
 				t.Error("call is held back")
 			}
@@ -327,11 +327,11 @@
 			w.boxes[0].Listed()
 		},
 	}
-	for name, play := range cases {
+	for name, run := range cases {
 		t.Run(name, func(t *testing.T) {
 			w := newTestCluster(t, 1)
 			w.endTargets(0, c, "t1", "t2", "t3")
-			play(w)
+			run(w)
 			if w.boxes[0].pendingEnds.Has(c) {
 				t.Error("box still keeps the ends")
 			}
