--- a/cmd/havenwinch/timeline.go
+++ b/cmd/havenwinch/timeline.go
@@ -80,8 +80,8 @@
 			}
 		}
 	}
-	if logs.Unread > 0 {
-		missing = append(missing, errors.Errorf("%d lines are no log lines of a box", logs.Unread))
+	if logs.Unparsed > 0 {
+		missing = append(missing, errors.Errorf("%d lines are no log lines of a box", logs.Unparsed))
 	}
 	events = logs.Request(request, around)
 	if len(events) == 0 {
--- a/cmd/havenwinchd/box.go
+++ b/cmd/havenwinchd/box.go
@@ -235,7 +235,7 @@
 	for {
 		changed := b.store.Changed()
 		b.dispatcher.Refresh()
-		b.quarantine.Listed()
+		b.quarantine.ProcessList()
 		select {
 		case <-changed:
 		case <-ctx.Done():
@@ -285,7 +285,7 @@
 func (b *box) settleBills(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, min(billsTimeout, b.settings.StopLimit/2))
 	defer cancel()
-	if err := b.dispatcher.Settled(ctx); err != nil {
+	if err := b.dispatcher.WaitSettled(ctx); err != nil {
 		b.logger.Warn("bills are left to their keepers", "reason", err.Error())
 	}
 }
--- a/cmd/havenwinchd/forward_control.go
+++ b/cmd/havenwinchd/forward_control.go
@@ -64,10 +64,10 @@
 			}
 		},
 	})
-	r.source = &gateway.MachineSource{Machine: r.machine, OutOfStep: r.member.OutOfStep, Members: r.member.Members}
+	r.source = &gateway.MachineSource{Machine: r.machine, GroupSyncAge: r.member.OutOfStep, Members: r.member.Members}
 	r.gateway = &control.Gateway{
 		Log: r.member, Machine: r.machine, Clock: b.Clock, Logger: b.Logger,
-		Self: b.Settings.BetweenAddress(), Boot: clock.BootID(newIncarnation()), Clocks: b.Client.ReadClock, Members: r.member.Members,
+		Self: b.Settings.BetweenAddress(), Boot: clock.BootID(newIncarnation()), ReadRemoteClock: b.Client.ReadClock, Members: r.member.Members,
 	}
 	r.between = b.Peers.Server(between.NewGateway(between.GatewayOptions{
 		Nodes:    r.member,
@@ -78,7 +78,7 @@
 	}))
 	r.api = (&platform.Control{
 		Client:   b.Client,
-		Registry: &gateway.Registry{Row: r.row, Client: b.Client},
+		Registry: &gateway.Registry{Lookup: r.row, Client: b.Client},
 		Version:  r.version,
 		Serves:   r.serves,
 		Refused:  b.Metrics.EntryRefused,
@@ -122,7 +122,7 @@
 		return err
 	}
 	r.spawn(r.member.Run)
-	r.spawn(r.gateway.WatchDays)
+	r.spawn(r.gateway.WatchWallClocks)
 	r.spawn(r.gateway.Quarantine().Watch)
 	r.spawn(r.followSelf)
 	return nil
--- a/cmd/havenwinchd/forward_entry.go
+++ b/cmd/havenwinchd/forward_entry.go
@@ -39,7 +39,7 @@
 type entryRole struct {
 	*forwardBox
 	leases     *gateway.Leases
-	shared     *gateway.Shared
+	shared     *gateway.SharedLeases
 	quarantine *quarantine.Service
 	between    *http.Server
 	meter      *meter.Meter
@@ -57,27 +57,27 @@
 		Box: b.Settings.Box, Process: newIncarnation(), Address: b.Settings.BetweenAddress(), DataCentre: b.Settings.DataCentre,
 		Store: b.Store, Client: b.Client, Clock: b.Clock, Logger: b.Logger,
 	})
-	e.shared = &gateway.Shared{Leases: e.leases, Dial: b.Peers.Draws}
+	e.shared = &gateway.SharedLeases{Leases: e.leases, Dial: b.Peers.Draws}
 	e.between = b.Peers.Server(between.NewDraws(e.leases, b.Peers.HandlerOptions()))
-	registry := &gateway.Registry{Row: b.Store.Target, Client: b.Client}
+	registry := &gateway.Registry{Lookup: b.Store.Target, Client: b.Client}
 	e.quarantine = quarantine.New(quarantine.Options{List: &b.Store.Quarantine, Clock: b.Clock, Logger: b.Logger, Report: b.Client.ReportCalls})
 	e.forwarder = forward.New(forward.Options{
-		Box:        b.Settings.Box,
-		DataCentre: b.Settings.DataCentre,
-		Dialect:    platform.Dialect(),
-		Store:      b.Store,
-		Leases:     e.shared,
-		Quarantine: e.quarantine,
-		Clock:      b.Clock,
-		Logger:     b.Logger,
-		Counter:    b.Metrics,
-		Orders:     platform.EngineOrders{},
-		Gone:       registry.Gone,
-		Hurry:      e.leases.Hurry,
-		Crowded:    e.overload.Crowded,
-		Meter:      e.meter,
-		RetryRatio: b.Settings.RetryRatio,
-		RetryStock: b.Settings.RetryStock,
+		Box:         b.Settings.Box,
+		DataCentre:  b.Settings.DataCentre,
+		Dialect:     platform.Dialect(),
+		Store:       b.Store,
+		Leases:      e.shared,
+		Quarantine:  e.quarantine,
+		Clock:       b.Clock,
+		Logger:      b.Logger,
+		Counter:     b.Metrics,
+		EngineAPI:   platform.EngineOrders{},
+		ReportGone:  registry.Deregister,
+		ReportNow:   e.leases.ReportNow,
+		IsCongested: e.overload.IsCongested,
+		Meter:       e.meter,
+		RetryRatio:  b.Settings.RetryRatio,
+		RetryStock:  b.Settings.RetryStock,
 
 		RetryWindow: b.Settings.RetryWindow,
 	})
@@ -93,7 +93,7 @@
 		},
 		Clock:  b.Clock,
 		Logger: b.Logger,
-		Sheds:  e.overload.Sheds,
+		Sheds:  e.overload.ShouldCloseConnections,
 		Work:   b.Graceful.Hammer(),
 	})
 	e.ready = quietServer(platform.ReadyHandler(e.isReady))
@@ -104,10 +104,10 @@
 	if e.Graceful.IsDraining() {
 		return errors.New("a planned stop has begun")
 	}
-	if e.overload.Busy() {
+	if e.overload.IsBusy() {
 		return errors.New("the link of this box is busy")
 	}
-	if !e.forwarder.Ready() {
+	if !e.forwarder.IsReady() {
 		return errors.New("no routing table or no target is known yet")
 	}
 	return nil
@@ -117,11 +117,11 @@
 // box's own could take the port of one that is opened later.
 func (e *entryRole) start() error {
 	follower := &gateway.Follower{Box: e.Settings.Box, Store: e.Store, Client: e.Client, Logger: e.Logger,
-		Taken: func(_, newTargets bool) {
+		OnChange: func(_, newTargets bool) {
 			if newTargets {
 				e.forwarder.Refresh()
 			}
-			e.quarantine.Listed()
+			e.quarantine.ProcessList()
 		}}
 	if _, err := e.serve("between-port", e.Settings.BetweenAddress(), e.between.Serve); err != nil {
 		return err
@@ -154,7 +154,7 @@
 	cancel()
 	returning, done := context.WithTimeout(context.Background(), returnTimeout)
 	e.shared.Flush(returning)
-	e.leases.Return(returning)
+	e.leases.SendFinalReport(returning)
 	done()
 	e.callers.Wait(ctx)
 	_ = e.between.Close()
--- a/cmd/havenwinchd/wire.go
+++ b/cmd/havenwinchd/wire.go
@@ -144,7 +144,7 @@
 	if err != nil {
 		return nil, err
 	}
-	service := control.New(control.Options{Log: node, Machine: machine, Holders: p, Policy: allot.Chosen(), Clock: c, Recorder: r, Logger: l})
+	service := control.New(control.Options{Log: node, Machine: machine, Keepers: p, Policy: allot.DefaultPolicy(), Clock: c, Recorder: r, Logger: l})
 	return &controlPart{Node: node, Machine: machine, Service: service}, nil
 }
 
@@ -196,21 +196,21 @@
 
 func newDispatcher(s *setting.Settings, id identity, q *quarantine.Service, keepers *dispatch.RemoteKeepers, store *configuration.Store, engines *engine.Client, c clock.Clock, r *timeline.Recorder, l *slog.Logger, m *metrics.Metrics) *dispatch.Dispatcher {
 	return dispatch.New(dispatch.Options{
-		Box:           id.Box,
-		Name:          s.Box,
-		DataCentre:    s.DataCentre,
-		KeyWindow:     s.KeyWindow,
-		Keepers:       keepers,
-		Config:        store,
-		Engines:       engines,
-		Quarantine:    q,
-		Policy:        target.PolicyByName(s.Policy),
-		Clock:         c,
-		Recorder:      r,
-		Logger:        l,
-		AliveInterval: aliveInterval,
-		Seed:          time.Now().UnixNano(),
-		Metrics:       m,
+		Box:               id.Box,
+		Name:              s.Box,
+		DataCentre:        s.DataCentre,
+		KeyWindow:         s.KeyWindow,
+		Keepers:           keepers,
+		Config:            store,
+		Engines:           engines,
+		Quarantine:        q,
+		Policy:            target.PolicyByName(s.Policy),
+		Clock:             c,
+		Recorder:          r,
+		Logger:            l,
+		KeepAliveInterval: aliveInterval,
+		Seed:              time.Now().UnixNano(),
+		Metrics:           m,
 	})
 }
 
@@ -230,12 +230,12 @@
 		Disk:         folder,
 		Clock:        c,
 		Control:      client,
-		Homes:        keepers,
+		HomeKeepers:  keepers,
 		Recoverer:    d,
 		Recorder:     r,
 		Logger:       l,
 		Incarnation:  uuid.NewString,
-		Ledger:       ledger.Options{Window: s.KeyWindow, BoxTimeout: s.BoxTimeout},
+		Ledger:       ledger.Options{RetentionWindow: s.KeyWindow, BoxTimeout: s.BoxTimeout},
 		SyncInterval: s.SyncInterval,
 	})
 	if err != nil {
@@ -273,7 +273,7 @@
 	return orders.New(orders.Options{
 		Lease:    b.control.Node,
 		States:   b.control.Machine,
-		Targets:  &engine.Orders{Client: engines, Address: b.dispatcher.AddressOf},
+		Targets:  &engine.Orders{Client: engines, Address: b.dispatcher.TargetAddress},
 		Clock:    c,
 		Recorder: b.recorder,
 		Logger:   b.logger,
@@ -302,7 +302,7 @@
 		Handler:  b.peers.HandlerOptions(),
 	}
 	if b.control.Node != nil {
-		opts.Source = configuration.MachineSource{Machine: b.control.Machine, Confirmed: b.control.Node.OutOfTouch}
+		opts.Source = configuration.MachineSource{Machine: b.control.Machine, SyncAge: b.control.Node.OutOfTouch}
 	}
 	return opts
 }
--- a/measure/allotment/main.go
+++ b/measure/allotment/main.go
@@ -80,10 +80,10 @@
 	{"equal", allot.Equal{}},
 	{"on demand", allot.OnDemand{Chunk: 5000}},
 	{"proportional", allot.Proportional{Floor: 0.1}},
-	{"proportional, spread, floor 0.1", allot.Proportional{SpreadFrom: allot.DefaultSpread, Floor: 0.1}},
-	{"proportional, spread, floor 1", allot.Proportional{SpreadFrom: allot.DefaultSpread, Floor: 1}},
-	{"proportional, spread, floor 1, keep 0.3", allot.Proportional{SpreadFrom: allot.DefaultSpread, Floor: 1, Keep: 0.3}},
-	{"proportional, spread, floor 1, keep 0.5", allot.Proportional{SpreadFrom: allot.DefaultSpread, Floor: 1, Keep: 0.5}},
+	{"proportional, spread, floor 0.1", allot.Proportional{SpreadFrom: allot.DefaultSpreadFrom, Floor: 0.1}},
+	{"proportional, spread, floor 1", allot.Proportional{SpreadFrom: allot.DefaultSpreadFrom, Floor: 1}},
+	{"proportional, spread, floor 1, keep 0.3", allot.Proportional{SpreadFrom: allot.DefaultSpreadFrom, Floor: 1, Keep: 0.3}},
+	{"proportional, spread, floor 1, keep 0.5", allot.Proportional{SpreadFrom: allot.DefaultSpreadFrom, Floor: 1, Keep: 0.5}},
 }
 
 // arrival is one request of the frozen demand.
@@ -183,7 +183,7 @@
 func (r *run) begin(i int) {
 	r.lives[i]++
 	incarnation := fmt.Sprint(r.lives[i])
-	r.ledgers[i] = ledger.New(ledger.Options{Window: time.Hour, BoxTimeout: time.Hour}, incarnation, time.Unix(0, 0), r.now)
+	r.ledgers[i] = ledger.New(ledger.Options{RetentionWindow: time.Hour, BoxTimeout: time.Hour}, incarnation, time.Unix(0, 0), r.now)
 	r.state.Apply(&statev1.Entry{Kind: &statev1.Entry_RegisterKeeper{RegisterKeeper: &statev1.RegisterKeeper{Box: r.boxes[i], Incarnation: incarnation}}})
 }
 
@@ -309,7 +309,7 @@
 				need += w.bound
 			}
 		}
-		l.Want(budgetName, need-min(need, l.Budget(budgetName).Free()))
+		l.SetNeed(budgetName, need-min(need, l.Budget(budgetName).Free()))
 	}
 }
 
@@ -367,7 +367,7 @@
 		again := r.plan(i, report)
 		r.apply(i, report, []*statev1.Grant{{Budget: budgetName, Tokens: again.Grant}})
 	}
-	l.Allot(budgetName, r.state.Budgets[budgetName].Of(r.holder(i)).GetAllotted())
+	l.SetAllotted(budgetName, r.state.Budgets[budgetName].AllotmentOf(r.holder(i)).GetAllotted())
 }
 
 func (r *run) find(holder string) int {
@@ -388,7 +388,7 @@
 	b := r.state.Budgets[budgetName]
 	var holders []allot.Holder
 	for i := range r.ledgers {
-		a := b.Of(r.holder(i))
+		a := b.AllotmentOf(r.holder(i))
 		h := allot.Holder{Name: r.holder(i), Rate: a.GetRate(), Need: a.GetNeed()}
 		if a != nil {
 			h.Free = state.Held(a) - min(state.Held(a), a.GetSpent()+a.GetReserved())
--- a/measure/capacity/capacity_test.go
+++ b/measure/capacity/capacity_test.go
@@ -125,7 +125,7 @@
 		each(b, n, func() any {
 			l := newLedger()
 			for i := range n {
-				l.Allot(fmt.Sprintf("org-%d/budget-%d", i%450, i), 1000)
+				l.SetAllotted(fmt.Sprintf("org-%d/budget-%d", i%450, i), 1000)
 			}
 			l.Reports(n+1, 0)
 			return l
@@ -134,7 +134,7 @@
 	b.Run("ledger record", func(b *testing.B) {
 		each(b, n, func() any {
 			l := newLedger()
-			l.Allot("org/budget", 1<<50)
+			l.SetAllotted("org/budget", 1<<50)
 			for range n {
 				key := uuid.NewString()
 				l.Reserve(&statev1.RequestRecord{Group: "org/group", Key: key, Budget: "org/budget", Bound: 100, BodyDigest: fmt.Sprintf("%064s", key), Model: "m1", Deadline: 1 << 60}, "box@1", ledger.Times{})
@@ -148,7 +148,7 @@
 		each(b, n, func() any {
 			q := queue.New(func(string) int { return 1 })
 			for i := range n {
-				q.Add(&queue.Item{Organisation: org(i), Pool: "m", Tokens: 100, Work: 50})
+				q.Add(&queue.Item{Organisation: org(i), Pool: "m", Tokens: 100, MaxOutputTokens: 50})
 			}
 			return q
 		})
@@ -167,7 +167,7 @@
 }
 
 func newLedger() *ledger.Ledger {
-	return ledger.New(ledger.Options{Window: time.Hour, BoxTimeout: time.Second}, "one", time.Unix(0, 0), 0)
+	return ledger.New(ledger.Options{RetentionWindow: time.Hour, BoxTimeout: time.Second}, "one", time.Unix(0, 0), 0)
 }
 
 // BenchmarkSnapshot is the control state's snapshot at the target's size.
@@ -397,7 +397,7 @@
 func listen(b *testing.B, machine *control.Machine, sent *counter) string {
 	p := newPeers("control")
 	ctx, cancel := context.WithCancel(context.Background())
-	source := configuration.MachineSource{Machine: machine, Confirmed: func() time.Duration { return 0 }}
+	source := configuration.MachineSource{Machine: machine, SyncAge: func() time.Duration { return 0 }}
 	server := p.Server(between.New(between.Options{Source: source, Stopping: ctx, Handler: p.HandlerOptions()}))
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/measure/placement/play.go
+++ b/measure/placement/play.go
@@ -137,11 +137,11 @@
 	total := time.Duration(0)
 	for i, tb := range pl.tables {
 		if !pl.policy.omniscient || i == 0 {
-			total += tb.ReadingLoads(now)[service]
+			total += tb.PrefillLoads(now)[service]
 		}
 	}
 	for _, tb := range pl.tables {
-		tb.SetFleetReading(service, total, now)
+		tb.SetFleetPrefillLoad(service, total, now)
 	}
 	if now < trafficTime {
 		pl.later(now+pl.d.report, pl.report)
@@ -163,15 +163,15 @@
 	if pl.policy.omniscient {
 		boxes = 1
 	}
-	need := spread.Need{Service: service, Affinity: c.part, Tokens: c.own, Pause: k.pause, Boxes: boxes}
+	need := spread.Criteria{Service: service, Affinity: c.part, UnsharedTokens: c.own, MaxPause: k.pause, Boxes: boxes}
 	if pl.policy.blind {
 		need.Affinity = 0
 	}
 	if pl.policy.together {
-		need.Pause = 0
+		need.MaxPause = 0
 	}
 	choice := tb.Choose(need, now)
-	if choice.Apart && !pl.policy.unasked {
+	if choice.IsDedicated && !pl.policy.unasked {
 		pl.ask(&choice)
 	}
 	t := choice.Target
@@ -188,22 +188,22 @@
 			for _, id := range pl.ids {
 				exclude[id] = id != pl.ids[n]
 			}
-			t = tb.Choose(spread.Need{Service: service, Boxes: 1, Exclude: exclude}, now).Target
+			t = tb.Choose(spread.Criteria{Service: service, Boxes: 1, Exclude: exclude}, now).Target
 			if t == nil {
 				c.failed = true
 				return
 			}
 		}
 	}
-	c.placed = placed{table: tb, target: t, home: choice.Home, sent: now, waiting: c.own + c.shared}
-	if !choice.Apart {
+	c.placed = placed{table: tb, target: t, home: choice.AffinityTarget, sent: now, waiting: c.own + c.shared}
+	if !choice.IsDedicated {
 		c.placed.home = nil
 	}
-	t.Running++
-	t.Waiting += c.placed.waiting
+	t.RunningCalls++
+	t.WaitingTokens += c.placed.waiting
 	var source *engine
-	if choice.Source != nil {
-		source = pl.engines[choice.Source.ID]
+	if choice.CacheSource != nil {
+		source = pl.engines[choice.CacheSource.ID]
 	}
 	pl.send(c, now, source)
 }
@@ -211,13 +211,13 @@
 // ask chooses the least busy of the readers by their reports.
 func (pl *play) ask(c *spread.Choice) {
 	least := -1
-	for _, r := range c.Readers {
+	for _, r := range c.Dedicated {
 		if load := pl.engines[r.ID].prompts(); least < 0 || load < least {
 			least, c.Target = load, r
 		}
 	}
-	if least >= crowded && c.Home != nil {
-		c.Target, c.Apart = c.Home, false
+	if least >= crowded && c.AffinityTarget != nil {
+		c.Target, c.IsDedicated = c.AffinityTarget, false
 	}
 }
 
@@ -248,7 +248,7 @@
 		for _, c := range ended {
 			pl.leave(c, false, now)
 			if c.placed.table != nil {
-				c.placed.table.Streamed(c.placed.target, c.longest, pl.d.kinds[c.kind].pause)
+				c.placed.table.RecordStreamPause(c.placed.target, c.longest, pl.d.kinds[c.kind].pause)
 			}
 		}
 		pl.watch(e, now)
@@ -261,7 +261,7 @@
 		return
 	}
 	pl.endWait(c)
-	c.placed.table.Read(c.placed.target, c.own, now-c.placed.sent)
+	c.placed.table.RecordPrefill(c.placed.target, c.own, now-c.placed.sent)
 	if c.placed.home == nil || c.placed.home == c.placed.target || pl.policy.staying || c.ended {
 		return
 	}
@@ -274,14 +274,14 @@
 }
 
 func (pl *play) move(c *call, now time.Duration) {
-	c.placed.target.Running--
+	c.placed.target.RunningCalls--
 	c.placed.target = c.placed.home
-	c.placed.target.Running++
+	c.placed.target.RunningCalls++
 	pl.send(c, now, nil)
 }
 
 func (pl *play) endWait(c *call) {
-	c.placed.target.Waiting -= c.placed.waiting
+	c.placed.target.WaitingTokens -= c.placed.waiting
 	c.placed.waiting = 0
 }
 
@@ -294,6 +294,6 @@
 
 func (pl *play) leave(c *call, failed bool, now time.Duration) {
 	pl.endWait(c)
-	c.placed.target.Running--
-	c.placed.table.Ended(c.placed.target, failed, now)
+	c.placed.target.RunningCalls--
+	c.placed.table.RecordOutcome(c.placed.target, failed, now)
 }
--- a/measure/routing/main.go
+++ b/measure/routing/main.go
@@ -212,7 +212,7 @@
 	w.queue = queue.New(func(string) int { return 1 })
 	for i := range engines {
 		name := fmt.Sprintf("engine-%d", i)
-		w.table.Put(&target.Target{Name: name, Address: name, Kind: target.Engine, Models: []string{modelName}, DataCentre: "dc", Listed: target.Live}, 0)
+		w.table.Put(&target.Target{Name: name, Address: name, Kind: target.Engine, Models: []string{modelName}, DataCentre: "dc", ListedState: target.Live}, 0)
 		m := &machine{cache: cache{blocks: map[target.Block]*list.Element{}, recent: list.New()}, slow: 1}
 		if t.slow && i == 0 {
 			m.slow = slowFactor
@@ -249,25 +249,25 @@
 	if m.free > w.now {
 		pending = int((m.free - w.now).Seconds() * prefillRate)
 	}
-	t.Report(m.running, pending, w.now)
+	t.RecordLoad(m.running, pending, w.now)
 	w.at(w.now+reportEvery, func() { w.report(name) })
 }
 
 func (w *world) lose(name string) {
 	w.machines[name].gone = true
-	w.table.Targets[name].Listed = target.Leaving
+	w.table.Targets[name].ListedState = target.Leaving
 }
 
 func (w *world) arrive(j job) {
-	need := target.Need{Model: modelName, Prompt: len(j.prompt) / 4, Interactive: j.interactive, DataCentre: "dc", Blocks: target.Blocks(j.organisation, modelName, j.prompt)}
-	it := &queue.Item{Organisation: j.organisation, Interactive: j.interactive, Pool: modelName, Tokens: need.Prompt + j.tokens, Deadline: j.deadline, Payload: func() bool { return w.start(j, need) }}
+	need := target.Criteria{Model: modelName, PromptTokens: len(j.prompt) / 4, Interactive: j.interactive, DataCentre: "dc", Blocks: target.Blocks(j.organisation, modelName, j.prompt)}
+	it := &queue.Item{Organisation: j.organisation, Interactive: j.interactive, Pool: modelName, Tokens: need.PromptTokens + j.tokens, Deadline: j.deadline, Payload: func() bool { return w.start(j, need) }}
 	w.queue.Add(it)
 	w.pump()
 }
 
 func (w *world) pump() {
 	for {
-		it := w.queue.Next(modelName, false)
+		it := w.queue.Peek(modelName, false)
 		if it == nil {
 			return
 		}
@@ -277,29 +277,29 @@
 			continue
 		}
 		if !it.Payload.(func() bool)() {
-			if it = w.queue.Next(modelName, true); it == nil || !it.Payload.(func() bool)() {
+			if it = w.queue.Peek(modelName, true); it == nil || !it.Payload.(func() bool)() {
 				return
 			}
 		}
-		w.queue.Take(it)
+		w.queue.Dequeue(it)
 	}
 }
 
-func (w *world) start(j job, need target.Need) bool {
+func (w *world) start(j job, need target.Criteria) bool {
 	d := target.Choose(w.policy, w.table.ForModel(modelName), need, target.Limits{Slots: slots, InteractiveSlots: 2, DecodeWeight: 3}, w.now, w.rng)
 	if d.Target == nil {
 		return false
 	}
-	d.Target.Begin(need.Prompt)
+	d.Target.RequestStarted(need.PromptTokens)
 	w.run(d.Target, j, need)
 	return true
 }
 
-func (w *world) run(t *target.Target, j job, need target.Need) {
+func (w *world) run(t *target.Target, j job, need target.Criteria) {
 	m := w.machines[t.Name]
 	hits := m.cache.use(need.Blocks, func(e target.CacheEvent) { w.publish(t, e) })
-	compute := max(0, need.Prompt-hits*target.BlockBytes/4)
-	w.prompts += need.Prompt
+	compute := max(0, need.PromptTokens-hits*target.BlockBytes/4)
+	w.prompts += need.PromptTokens
 	w.computed += compute
 	begin := max(m.free, w.now)
 	m.free = begin + time.Duration(compute*m.slow)*time.Second/prefillRate
@@ -310,7 +310,7 @@
 	m.work += (ends - w.now).Seconds()
 	w.at(ends, func() {
 		m.running--
-		t.End(need.Prompt)
+		t.RequestEnded(need.PromptTokens)
 		if m.gone && ends > lostFrom {
 			// Its engine was lost while it ran: it starts anew elsewhere.
 			w.arrive(j)
@@ -341,7 +341,7 @@
 	if w.trace.stale {
 		delay = 15 * time.Second
 	}
-	w.at(w.now+delay, func() { t.Cache.Take("epoch", []target.CacheEvent{e}, w.now) })
+	w.at(w.now+delay, func() { t.Cache.Apply("epoch", []target.CacheEvent{e}, w.now) })
 }
 
 func percentile(list []time.Duration, p float64) time.Duration {
--- a/models/allot/allot.go
+++ b/models/allot/allot.go
@@ -94,14 +94,14 @@
 	Keep float64
 }
 
-// DefaultSpread is the default of Proportional.SpreadFrom. It is a little more than
+// DefaultSpreadFrom is the default of Proportional.SpreadFrom. It is a little more than
 // a typical request reserves; a holder could not serve any with less.
-const DefaultSpread = 2000
+const DefaultSpreadFrom = 2000
 
-// Chosen returns the policy that the daemon uses. docs/MEASUREMENTS.md has the
+// DefaultPolicy returns the policy that the daemon uses. docs/MEASUREMENTS.md has the
 // comparison of policies that it was selected by.
-func Chosen() Policy {
-	return Proportional{SpreadFrom: DefaultSpread, Floor: 1}
+func DefaultPolicy() Policy {
+	return Proportional{SpreadFrom: DefaultSpreadFrom, Floor: 1}
 }
 
 // Plan implements Policy.
--- a/models/allot/lease.go
+++ b/models/allot/lease.go
@@ -16,23 +16,23 @@
 	Rate uint64
 }
 
-// LeasePart is the role of a box for an organisation's lease.
-type LeasePart int
+// LeaseRole is the role of a box for an organisation's lease.
+type LeaseRole int
 
 const (
 	// LeaseHolder is a box that holds a lease for itself and for others.
-	LeaseHolder LeasePart = iota
+	LeaseHolder LeaseRole = iota
 	// LeaseGuest is a box that draws on leases of others, and is granted only what
 	// its requests lack.
 	LeaseGuest
-	// LeaseUndecided is a box whose role is not known yet. It keeps its tokens.
-	LeaseUndecided
+	// LeaseRoleUnknown is a box whose role is not known yet. It keeps its tokens.
+	LeaseRoleUnknown
 )
 
 // LeaseDemand is the report of one box. Available is the number of tokens that were
 // allotted to it and are neither returned nor spent, including reserved ones.
 type LeaseDemand struct {
-	Part      LeasePart
+	Role      LeaseRole
 	Available uint64
 	Reserved  uint64
 	Rate      uint64
@@ -71,7 +71,7 @@
 	wanted := float64(target)
 	available := float64(d.Available)
 	switch {
-	case d.Part == LeaseUndecided && d.Need == 0:
+	case d.Role == LeaseRoleUnknown && d.Need == 0:
 	case d.Need > 0 || available < grantBelow*wanted:
 		if target > d.Available {
 			decision.Grant = min(target-d.Available, s.Unallotted)
@@ -85,7 +85,7 @@
 
 // leaseTarget returns the number of tokens that a box should have available.
 func leaseTarget(s LeaseState, d LeaseDemand) uint64 {
-	if d.Part != LeaseHolder {
+	if d.Role != LeaseHolder {
 		return d.Reserved + d.Need
 	}
 	pool := leasePoolFraction * float64(s.Unallotted+s.Free)
--- a/models/lease/directory.go
+++ b/models/lease/directory.go
@@ -89,9 +89,9 @@
 	return highestScoring(d.byCentre[centre], organisation, holdersPerCentre)
 }
 
-// Elsewhere returns the boxes that hold an organisation's leases in all data
+// HoldersElsewhere returns the boxes that hold an organisation's leases in all data
 // centres other than the given one.
-func (d *Directory) Elsewhere(organisation, centre string) []Box {
+func (d *Directory) HoldersElsewhere(organisation, centre string) []Box {
 	if d == nil {
 		return nil
 	}
@@ -104,9 +104,9 @@
 	return list
 }
 
-// Count returns the number of boxes that hold an organisation's leases. It is
+// HolderCount returns the number of boxes that hold an organisation's leases. It is
 // at least 1, also for an empty or nil directory.
-func (d *Directory) Count(organisation string) int {
+func (d *Directory) HolderCount(organisation string) int {
 	if d == nil {
 		return 1
 	}
@@ -117,7 +117,7 @@
 	return max(1, count)
 }
 
-// Holds reports whether a box holds an organisation's leases in a data centre.
-func (d *Directory) Holds(box, centre, organisation string) bool {
+// IsHolder reports whether a box holds an organisation's leases in a data centre.
+func (d *Directory) IsHolder(box, centre, organisation string) bool {
 	return slices.ContainsFunc(d.Holders(organisation, centre), func(b Box) bool { return b.Name == box })
 }
--- a/models/lease/directory_test.go
+++ b/models/lease/directory_test.go
@@ -37,7 +37,7 @@
 		if diff := cmp.Diff(one.Holders(organisation, "dc-1"), two.Holders(organisation, "dc-1")); diff != "" {
 			t.Fatal(diff)
 		}
-		if got := len(one.Elsewhere(organisation, "dc-1")); got != 2*holdersPerCentre {
+		if got := len(one.HoldersElsewhere(organisation, "dc-1")); got != 2*holdersPerCentre {
 			t.Fatalf("%d holders elsewhere", got)
 		}
 	}
@@ -60,13 +60,13 @@
 			for n := range 200 {
 				organisation := fmt.Sprint("org-", n)
 				for _, b := range d.Boxes {
-					if d.Holds(b.Name, b.DataCentre, organisation) {
+					if d.IsHolder(b.Name, b.DataCentre, organisation) {
 						holding[b.Name] = true
 					}
 				}
 			}
-			if d.Count("o") != c.count || len(holding) != c.holding {
-				t.Fatalf("%d holders of one organisation and %d of any, want %d and %d", d.Count("o"), len(holding), c.count, c.holding)
+			if d.HolderCount("o") != c.count || len(holding) != c.holding {
+				t.Fatalf("%d holders of one organisation and %d of any, want %d and %d", d.HolderCount("o"), len(holding), c.count, c.holding)
 			}
 		})
 	}
@@ -78,7 +78,7 @@
 	before, after := NewDirectory(boxes), NewDirectory(boxes[1:])
 	for n := range 100 {
 		organisation := fmt.Sprint("org-", n)
-		if before.Holds(boxes[0].Name, "dc-0", organisation) {
+		if before.IsHolder(boxes[0].Name, "dc-0", organisation) {
 			continue
 		}
 		moved := cmp.Diff(before.Holders(organisation, "dc-0"), after.Holders(organisation, "dc-0"))
@@ -90,7 +90,7 @@
 
 func holdsAny(d *Directory, box string) bool {
 	for n := range 100 {
-		if d.Holds(box, "dc-0", fmt.Sprint("org-", n)) {
+		if d.IsHolder(box, "dc-0", fmt.Sprint("org-", n)) {
 			return true
 		}
 	}
@@ -99,7 +99,7 @@
 
 func TestNoDirectory(t *testing.T) {
 	var d *Directory
-	if d.Holders("o", "dc") != nil || d.Elsewhere("o", "dc") != nil || d.Count("o") != 1 || d.Holds("b", "dc", "o") {
+	if d.Holders("o", "dc") != nil || d.HoldersElsewhere("o", "dc") != nil || d.HolderCount("o") != 1 || d.IsHolder("b", "dc", "o") {
 		t.Fatal("a nil directory has holders")
 	}
 }
--- a/models/lease/draws.go
+++ b/models/lease/draws.go
@@ -35,8 +35,8 @@
 // Len returns the number of rows, including those of draws that have ended.
 func (d *Draws) Len() int { return len(d.rows) }
 
-// Known reports whether there is a row with the given id.
-func (d *Draws) Known(id string) bool { return d.rows[id] != nil }
+// Has reports whether there is a row with the given id.
+func (d *Draws) Has(id string) bool { return d.rows[id] != nil }
 
 // Put adds a draw. Its id must not be in the table.
 func (d *Draws) Put(row Draw) {
--- a/models/lease/draws_test.go
+++ b/models/lease/draws_test.go
@@ -19,7 +19,7 @@
 	if _, open := d.End("a", 0); open {
 		t.Fatal("a draw ended twice")
 	}
-	if _, open := d.End("late", 5*time.Second); open || !d.Known("late") {
+	if _, open := d.End("late", 5*time.Second); open || !d.Has("late") {
 		t.Fatal("a draw that was ended before it arrived is not recorded as ended")
 	}
 	if left := d.Expire(2 * time.Second); len(left) != 0 || d.Len() != 1 {
@@ -67,7 +67,7 @@
 				}
 			case "end before it comes":
 				draws.End(id, now+time.Second)
-				if !draws.Known(id) {
+				if !draws.Has(id) {
 					rt.Fatal("a draw that was ended before it arrived is not in the table")
 				}
 			default:
--- a/models/lease/lease.go
+++ b/models/lease/lease.go
@@ -26,10 +26,10 @@
 	Left uint64
 	// Unallotted is the part that was not allotted to any box at that time.
 	Unallotted uint64
-	// Answered is the time of control's last answer. Asked is set once there was
+	// AnsweredAt is the time of control's last answer. Asked is set once there was
 	// one.
-	Answered time.Duration
-	Asked    bool
+	AnsweredAt time.Duration
+	HasAnswer  bool
 	// need is the number of tokens that waiting requests lack.
 	need uint64
 	// refused counts the tokens of rejected requests, cumulatively. They are part
@@ -78,15 +78,15 @@
 	return l
 }
 
-// InUse reports whether an organisation's lease has to be reported to control:
+// ShouldReport reports whether an organisation's lease has to be reported to control:
 // tokens were allotted to it, or requests are waiting for some.
-func (t *Table) InUse(organisation string) bool {
+func (t *Table) ShouldReport(organisation string) bool {
 	l := t.Leases[organisation]
 	return l != nil && (l.Allotted > 0 || l.need > 0)
 }
 
-// Holding reports whether an organisation's lease has free tokens on this box.
-func (t *Table) Holding(organisation string) bool {
+// HasFree reports whether an organisation's lease has free tokens on this box.
+func (t *Table) HasFree(organisation string) bool {
 	l := t.Leases[organisation]
 	return l != nil && l.Free() > 0
 }
@@ -103,10 +103,10 @@
 	return true
 }
 
-// Announce reserves tokens regardless of the limit on unreported use. They must
+// ReservePending reserves tokens regardless of the limit on unreported use. They must
 // not be used until control has acknowledged a sample that includes them. It
 // returns false when the lease has too few free tokens.
-func (t *Table) Announce(organisation string, tokens uint64) bool {
+func (t *Table) ReservePending(organisation string, tokens uint64) bool {
 	l := t.Of(organisation)
 	if l.Free() < tokens {
 		return false
@@ -115,10 +115,10 @@
 	return true
 }
 
-// Withdraw ends an announcement whose tokens were not used. If the limit on
-// unreported use allows them, they become an ordinary reservation and Withdraw
+// CancelPending ends an announcement whose tokens were not used. If the limit on
+// unreported use allows them, they become an ordinary reservation and CancelPending
 // returns true; otherwise they are released.
-func (t *Table) Withdraw(organisation string, tokens uint64, now time.Duration) bool {
+func (t *Table) CancelPending(organisation string, tokens uint64, now time.Duration) bool {
 	l := t.Of(organisation)
 	if l.limit.available(now) >= float64(tokens) {
 		l.limit.take(tokens)
@@ -143,19 +143,19 @@
 	l.Spent += min(spent, reserved)
 }
 
-// Missed adds the tokens of a refused request to the demand.
-func (t *Table) Missed(organisation string, tokens uint64) { t.Of(organisation).refused += tokens }
+// AddRefused adds the tokens of a refused request to the demand.
+func (t *Table) AddRefused(organisation string, tokens uint64) { t.Of(organisation).refused += tokens }
 
-// Drawn adds tokens that a request drew from another box's lease to the demand.
-func (t *Table) Drawn(organisation string, tokens uint64) { t.Of(organisation).drawn += tokens }
+// AddDrawn adds tokens that a request drew from another box's lease to the demand.
+func (t *Table) AddDrawn(organisation string, tokens uint64) { t.Of(organisation).drawn += tokens }
 
 // highDrawRate is the demand, in tokens per second, from which on a box reports an
 // organisation to control although it holds no lease of it.
 const highDrawRate = 4000
 
-// Heavy reports whether requests on this box draw on an organisation's leases on
+// HasHighDrawRate reports whether requests on this box draw on an organisation's leases on
 // other boxes and its demand has reached highDrawRate.
-func (t *Table) Heavy(organisation string, now time.Duration) bool {
+func (t *Table) HasHighDrawRate(organisation string, now time.Duration) bool {
 	l := t.Leases[organisation]
 	if l == nil || l.drawn == 0 {
 		return false
@@ -164,21 +164,21 @@
 	return l.rate >= highDrawRate
 }
 
-// Need adds to the tokens that waiting requests lack. A negative amount reduces
+// AddNeed adds to the tokens that waiting requests lack. A negative amount reduces
 // them, at most to zero.
-func (t *Table) Need(organisation string, tokens int64) {
+func (t *Table) AddNeed(organisation string, tokens int64) {
 	l := t.Of(organisation)
 	l.need = uint64(max(0, int64(l.need)+tokens))
 }
 
-// Granted applies control's answer to a report. Allotted never decreases. keep
+// ApplyGrant applies control's answer to a report. Allotted never decreases. keep
 // is the maximum that the box should have unspent; free tokens beyond it are
 // returned unless requests are waiting.
-func (t *Table) Granted(organisation string, allotted, keep, left uint64, now time.Duration) {
+func (t *Table) ApplyGrant(organisation string, allotted, keep, left uint64, now time.Duration) {
 	l := t.Of(organisation)
 	l.Allotted = max(l.Allotted, allotted)
 	l.limit.acknowledge(l.Allotted)
-	l.Left, l.Answered, l.Asked = left, now, true
+	l.Left, l.AnsweredAt, l.HasAnswer = left, now, true
 	available := l.Allotted - min(l.Allotted, l.Returned+l.Spent)
 	if l.need == 0 && available > keep {
 		l.Returned += min(available-keep, l.Free())
@@ -233,10 +233,10 @@
 	l.lastUpdate, l.lastTotal = now, total
 }
 
-// Exhausted reports whether neither this lease nor, by control's last answer,
+// IsExhausted reports whether neither this lease nor, by control's last answer,
 // the rest of the organisation's budget can cover a request. It is false before
 // the first answer.
-func (t *Table) Exhausted(organisation string, tokens uint64) bool {
+func (t *Table) IsExhausted(organisation string, tokens uint64) bool {
 	l := t.Of(organisation)
-	return l.Asked && l.Left < tokens && l.Free() < tokens
+	return l.HasAnswer && l.Left < tokens && l.Free() < tokens
 }
--- a/models/lease/lease_test.go
+++ b/models/lease/lease_test.go
@@ -17,7 +17,7 @@
 	t := NewTable()
 	t.Of(org)
 	t.Sample(now)
-	t.Granted(org, tokens, tokens, tokens, now)
+	t.ApplyGrant(org, tokens, tokens, tokens, now)
 	return t
 }
 
@@ -68,18 +68,18 @@
 func TestAnnouncedTokensNeedNoLimit(t *testing.T) {
 	now := time.Second
 	tb := granted(160000, now)
-	if !tb.Announce(org, 100000) {
+	if !tb.ReservePending(org, 100000) {
 		t.Fatal("an announcement that the lease can cover was refused")
 	}
 	tb.Sample(now)
-	tb.Granted(org, 160000, 160000, 160000, now)
+	tb.ApplyGrant(org, 160000, 160000, 160000, now)
 	if !tb.Reserve(org, BurstLimit(60000), now) {
 		t.Fatal("a reservation within the burst limit of the remaining lease was refused")
 	}
-	if tb.Announce(org, 60000) {
+	if tb.ReservePending(org, 60000) {
 		t.Fatal("an announcement of more than the lease was accepted")
 	}
-	if tb.Withdraw(org, 100000, now) {
+	if tb.CancelPending(org, 100000, now) {
 		t.Fatal("a withdrawal kept a reservation above the limit")
 	}
 	if got := tb.Of(org).Reserved; got != BurstLimit(60000) {
@@ -90,7 +90,7 @@
 func TestReturns(t *testing.T) {
 	tb := granted(1000, 1)
 	tb.Sample(2)
-	tb.Granted(org, 1000, 400, 1000, 2)
+	tb.ApplyGrant(org, 1000, 400, 1000, 2)
 	if l := tb.Of(org); l.Returned != 600 || l.Free() != 400 {
 		t.Fatalf("after control asked for a return: %+v", l)
 	}
@@ -103,12 +103,12 @@
 
 func TestExhausted(t *testing.T) {
 	tb := NewTable()
-	if tb.Exhausted(org, 10) {
+	if tb.IsExhausted(org, 10) {
 		t.Fatal("exhausted before control has answered")
 	}
 	tb.Sample(0)
-	tb.Granted(org, 100, 100, 100, 0)
-	if tb.Exhausted(org, 100) || !tb.Exhausted(org, 101) {
+	tb.ApplyGrant(org, 100, 100, 100, 0)
+	if tb.IsExhausted(org, 100) || !tb.IsExhausted(org, 101) {
 		t.Fatal("a budget is exhausted if and only if neither its rest nor the lease covers the request")
 	}
 }
@@ -146,8 +146,8 @@
 				tb.Settle(org, part, part)
 			case "announce":
 				tokens := uint64(rapid.IntRange(1, 30000).Draw(rt, "announced"))
-				if tb.Announce(org, tokens) {
-					tb.Withdraw(org, tokens, now)
+				if tb.ReservePending(org, tokens) {
+					tb.CancelPending(org, tokens, now)
 				}
 			case "lost request":
 				if acked {
@@ -163,12 +163,12 @@
 				view.allotted += uint64(rapid.IntRange(0, 50000).Draw(rt, "grant"))
 				view.basis = max(l.limit.basis, view.free())
 				if rapid.Bool().Draw(rt, "answer arrives") {
-					tb.Granted(org, view.allotted, 1<<40, 1<<40, now)
+					tb.ApplyGrant(org, view.allotted, 1<<40, 1<<40, now)
 					acked, answered = true, now
 				}
 			}
 			used := l.Spent + l.Reserved + l.Returned
-			bound := view.counters.used() + min(view.free(), MostUsed(view.basis, now-view.stamp))
+			bound := view.counters.used() + min(view.free(), MaxUnreportedUse(view.basis, now-view.stamp))
 			if used > bound {
 				rt.Fatalf("step %d: used %d, control's bound %d (basis %d, %s since the stamp)", step, used, bound, view.basis, now-view.stamp)
 			}
--- a/models/lease/limit.go
+++ b/models/lease/limit.go
@@ -61,10 +61,10 @@
 // lengthened to allow for clock drift.
 const clockDriftFactor = 1.02
 
-// MostUsed returns an upper bound of the tokens that a holder has used beyond
+// MaxUnreportedUse returns an upper bound of the tokens that a holder has used beyond
 // its last report, if that report was sampled no earlier than elapsed before the
 // holder's end.
-func MostUsed(basis uint64, elapsed time.Duration) uint64 {
+func MaxUnreportedUse(basis uint64, elapsed time.Duration) uint64 {
 	return BurstLimit(basis) + uint64(RateLimit(basis)*elapsed.Seconds()*clockDriftFactor) + partitionAllowance(basis, time.Duration(clockDriftFactor*float64(elapsed))) + 1
 }
 
--- a/models/ledger/allotment.go
+++ b/models/ledger/allotment.go
@@ -33,10 +33,10 @@
 	r.perSecond += float64(tokens) * math.Ln2 / rateHalfLife.Seconds()
 }
 
-// Allot raises a budget's allotment to a cumulative total from control. A lower
+// SetAllotted raises a budget's allotment to a cumulative total from control. A lower
 // total comes from an answer that was overtaken by a later one and changes
 // nothing.
-func (l *Ledger) Allot(budget string, total uint64) []*statev1.LedgerRecord {
+func (l *Ledger) SetAllotted(budget string, total uint64) []*statev1.LedgerRecord {
 	b := l.Budget(budget)
 	if total <= b.Row.GetAllotted() {
 		return nil
@@ -119,8 +119,8 @@
 	}
 }
 
-// Touch includes a budget in the next Reports.
-func (l *Ledger) Touch(budget string) { l.dirtyBudgets[budget] = true }
+// MarkBudgetDirty includes a budget in the next Reports.
+func (l *Ledger) MarkBudgetDirty(budget string) { l.dirtyBudgets[budget] = true }
 
 // MarkDirty includes rows in the next Reports again after sending them failed.
 func (l *Ledger) MarkDirty(reports []*statev1.BudgetReport, usages []*statev1.GroupUsage) {
@@ -132,9 +132,9 @@
 	}
 }
 
-// Want sets the number of tokens that waiting requests lack of a budget, zero
+// SetNeed sets the number of tokens that waiting requests lack of a budget, zero
 // for none.
-func (l *Ledger) Want(budget string, need uint64) {
+func (l *Ledger) SetNeed(budget string, need uint64) {
 	b := l.Budget(budget)
 	if b.Need == need {
 		return
--- a/models/ledger/escrow_test.go
+++ b/models/ledger/escrow_test.go
@@ -26,7 +26,7 @@
 	groupName  = "north/a"
 )
 
-var options = ledger.Options{Window: time.Hour, BoxTimeout: 3 * time.Second}
+var options = ledger.Options{RetentionWindow: time.Hour, BoxTimeout: 3 * time.Second}
 
 // holder is a ledger with its simulated disk.
 type holder struct {
@@ -86,7 +86,7 @@
 	h.ledger = ledger.New(options, fmt.Sprintf("%s-%d", h.box, h.incarnations), w.now.Wall, w.now.Boot)
 	h.disk, h.served = nil, 0
 	answer := w.state.Apply(&statev1.Entry{Kind: &statev1.Entry_RegisterKeeper{RegisterKeeper: &statev1.RegisterKeeper{Box: h.box, Incarnation: h.ledger.Incarnation}}})
-	if err := answer.(state.RegisterAnswer).Err; err != nil {
+	if err := answer.(state.RegisterResult).Err; err != nil {
 		w.t.Fatal(err)
 	}
 }
@@ -112,7 +112,7 @@
 		if err := proto.Unmarshal(data, &r); err != nil {
 			w.t.Fatal(err)
 		}
-		fresh.Take(&r)
+		fresh.Replay(&r)
 	}
 	h.ledger = fresh
 }
@@ -129,7 +129,7 @@
 	}
 	w.store(h, out.Records)
 	if out.Status == betweenv1.ReserveStatus_RESERVE_STATUS_EXHAUSTED {
-		h.ledger.Want(budgetName, bound)
+		h.ledger.SetNeed(budgetName, bound)
 	}
 }
 
@@ -201,7 +201,7 @@
 		w.reports = append(w.reports[:i], w.reports[i+1:]...)
 	}
 	w.state.Apply(&statev1.Entry{Kind: &statev1.Entry_Sync{Sync: m}})
-	if a := w.state.Budgets[budgetName].Of(m.GetHolder()); a != nil {
+	if a := w.state.Budgets[budgetName].AllotmentOf(m.GetHolder()); a != nil {
 		w.answers = append(w.answers, allotmentAnswer{holder: m.GetHolder(), allotted: a.GetAllotted()})
 	}
 }
@@ -214,7 +214,7 @@
 	r := w.answers[rapid.IntRange(0, len(w.answers)-1).Draw(w.t, "row")]
 	for _, h := range w.holders {
 		if h.name() == r.holder {
-			w.store(h, h.ledger.Allot(budgetName, r.allotted))
+			w.store(h, h.ledger.SetAllotted(budgetName, r.allotted))
 		}
 	}
 }
@@ -269,15 +269,15 @@
 // resolveClaims sends a holder's pending claims to the home ledger and applies
 // the answers.
 func (w *escrowModel) resolveClaims(h *holder) {
-	for _, r := range h.ledger.Pending(100) {
+	for _, r := range h.ledger.PendingClaims(100) {
 		home := w.holders[0]
 		if home == h {
-			w.store(h, h.ledger.Claimed(r.GetGroup(), r.GetKey(), true, h.name(), w.now).Records)
+			w.store(h, h.ledger.ApplyClaimAnswer(r.GetGroup(), r.GetKey(), true, h.name(), w.now).Records)
 			continue
 		}
 		granted, by, out := home.ledger.Claim(r, h.name(), w.now)
 		w.store(home, out.Records)
-		w.store(h, h.ledger.Claimed(r.GetGroup(), r.GetKey(), granted, by, w.now).Records)
+		w.store(h, h.ledger.ApplyClaimAnswer(r.GetGroup(), r.GetKey(), granted, by, w.now).Records)
 	}
 }
 
@@ -299,7 +299,7 @@
 	if total > granted {
 		w.t.Fatalf("%d tokens are served or reserved, %d granted", total, granted)
 	}
-	if held := w.state.Budgets[budgetName].HeldByAll(); held > granted {
+	if held := w.state.Budgets[budgetName].TotalHeld(); held > granted {
 		w.t.Fatalf("%d tokens are allotted, %d granted", held, granted)
 	}
 }
--- a/models/ledger/expiry_test.go
+++ b/models/ledger/expiry_test.go
@@ -15,8 +15,8 @@
 // ahead takes no memory after the window of its record.
 func TestEndedRequestsLeaveNothing(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	l := New(Options{Window: time.Minute, BoxTimeout: time.Second}, "one", start, 0)
-	l.Allot("b", 1000)
+	l := New(Options{RetentionWindow: time.Minute, BoxTimeout: time.Second}, "one", start, 0)
+	l.SetAllotted("b", 1000)
 	now := Times{Wall: start}
 	for i := range 100 {
 		key := fmt.Sprint(i)
--- a/models/ledger/ledger.go
+++ b/models/ledger/ledger.go
@@ -19,8 +19,8 @@
 
 // Options configure a Ledger.
 type Options struct {
-	// Window is the time for which a record is kept after its request ended.
-	Window time.Duration
+	// RetentionWindow is the time for which a record is kept after its request ended.
+	RetentionWindow time.Duration
 	// BoxTimeout is the time without a message from a box after which its
 	// requests are orphaned.
 	BoxTimeout time.Duration
@@ -133,8 +133,8 @@
 	return u
 }
 
-// Take applies one stored record during recovery.
-func (l *Ledger) Take(r *statev1.LedgerRecord) {
+// Replay applies one stored record during recovery.
+func (l *Ledger) Replay(r *statev1.LedgerRecord) {
 	if row := r.GetBudget(); row != nil {
 		l.Budget(row.GetBudget()).Row = row
 		l.dirtyBudgets[row.GetBudget()] = true
@@ -166,7 +166,7 @@
 		l.openByBox[r.GetBox()][key] = true
 		l.schedule(key, r.GetDeadline()+unstartedGraceMillis)
 	} else {
-		l.schedule(key, r.GetChanged()+l.opts.Window.Milliseconds())
+		l.schedule(key, r.GetChanged()+l.opts.RetentionWindow.Milliseconds())
 	}
 	if r.GetForeignHome() != "" && r.GetState() != statev1.RequestState_REQUEST_STATE_RELEASED {
 		l.pendingClaims[key] = true
@@ -324,10 +324,10 @@
 	l.Incarnation, l.Created = s.GetIncarnation(), s.GetCreated()
 	l.Blind, l.Registered = s.GetBlind(), s.GetRegistered()
 	for _, row := range s.GetBudgets() {
-		l.Take(&statev1.LedgerRecord{Budget: row})
+		l.Replay(&statev1.LedgerRecord{Budget: row})
 	}
 	for _, row := range s.GetUsages() {
-		l.Take(&statev1.LedgerRecord{Usage: row})
+		l.Replay(&statev1.LedgerRecord{Usage: row})
 	}
 	for _, row := range s.GetRequests() {
 		l.put(row)
--- a/models/ledger/ledger_test.go
+++ b/models/ledger/ledger_test.go
@@ -23,7 +23,7 @@
 
 func newLedger(tokens uint64) *ledger.Ledger {
 	l := ledger.New(options, "one", at(0).Wall, at(0).Boot)
-	l.Allot(budgetName, tokens)
+	l.SetAllotted(budgetName, tokens)
 	return l
 }
 
@@ -176,7 +176,7 @@
 			far.Reserve(r, "box@2", at(0))
 			far.Start(groupName, "k", ledger.StartOptions{Attempt: 1, Target: "e"}, at(0))
 			granted, by, _ := home.Claim(r, "far", at(0))
-			far.Claimed(groupName, "k", granted, by, at(0))
+			far.ApplyClaimAnswer(groupName, "k", granted, by, at(0))
 			out := far.Settle(groupName, "k", ledger.Bill{Attempt: 1, Used: 15}, at(0))
 			billed := out.Request.GetState() == statev1.RequestState_REQUEST_STATE_DONE
 			if granted != test.want || billed != test.want || out.Request.GetBilled()+out.Request.GetWrittenOff() != 15 {
@@ -208,7 +208,7 @@
 		b.Run(fmt.Sprintf("budgets=%d", n), func(b *testing.B) {
 			l := newLedger(1 << 50)
 			for i := range n {
-				l.Allot(fmt.Sprint("north/", i), 1000)
+				l.SetAllotted(fmt.Sprint("north/", i), 1000)
 			}
 			l.Reports(n+1, at(0).Boot)
 			i, bytes := 0, 0
@@ -236,13 +236,13 @@
 		b.Run(fmt.Sprintf("budgets=%d", n), func(b *testing.B) {
 			l := newLedger(1 << 50)
 			for i := range n {
-				l.Allot(fmt.Sprint("north/", i), 1000)
+				l.SetAllotted(fmt.Sprint("north/", i), 1000)
 			}
 			l.Reports(n+1, at(0).Boot)
 			for b.Loop() {
 				l.Expire(at(0))
 				l.Orphans(at(0).Boot, 64)
-				l.Pending(64)
+				l.PendingClaims(64)
 				l.Reports(2048, at(0).Boot)
 			}
 		})
--- a/models/ledger/reserve.go
+++ b/models/ledger/reserve.go
@@ -48,13 +48,13 @@
 // older than the window, or an earlier ledger that may have run it was lost.
 func (l *Ledger) checkUnrecordedKey(r *statev1.RequestRecord, now time.Time) betweenv1.ReserveStatus {
 	created, timed := KeyTime(r.GetKey())
-	if timed && created < now.UnixMilli()-l.opts.Window.Milliseconds() {
+	if timed && created < now.UnixMilli()-l.opts.RetentionWindow.Milliseconds() {
 		return betweenv1.ReserveStatus_RESERVE_STATUS_EXPIRED
 	}
 	if !l.Blind || r.GetRepeatable() {
 		return betweenv1.ReserveStatus_RESERVE_STATUS_UNSPECIFIED
 	}
-	blindUntil := l.Created + l.opts.Window.Milliseconds()
+	blindUntil := l.Created + l.opts.RetentionWindow.Milliseconds()
 	if timed && created > l.Created+maxClockSkewMillis || now.UnixMilli() > blindUntil {
 		return betweenv1.ReserveStatus_RESERVE_STATUS_UNSPECIFIED
 	}
--- a/models/ledger/settle.go
+++ b/models/ledger/settle.go
@@ -71,10 +71,10 @@
 	r.Billed = 0
 }
 
-// ReleaseUnseen releases a reservation whose answer did not reach the box that
+// ReleaseUnanswered releases a reservation whose answer did not reach the box that
 // asked for it, unless it was started or taken over since. The record must
 // exist.
-func (l *Ledger) ReleaseUnseen(group, key, box string, now Times) Outcome {
+func (l *Ledger) ReleaseUnanswered(group, key, box string, now Times) Outcome {
 	old := l.Requests[RequestKey(group, key)]
 	if old.GetState() != statev1.RequestState_REQUEST_STATE_RESERVED || old.GetBox() != box {
 		return Outcome{Request: old}
@@ -114,9 +114,9 @@
 	return true, holder, l.store(claim, betweenv1.ReserveStatus_RESERVE_STATUS_DONE)
 }
 
-// Pending returns at most n records whose claim the home ledger has not answered
+// PendingClaims returns at most n records whose claim the home ledger has not answered
 // yet.
-func (l *Ledger) Pending(n int) []*statev1.RequestRecord {
+func (l *Ledger) PendingClaims(n int) []*statev1.RequestRecord {
 	var list []*statev1.RequestRecord
 	for key := range l.pendingClaims {
 		if len(list) == n {
@@ -127,9 +127,9 @@
 	return list
 }
 
-// Claimed applies the home ledger's answer to a claim. If another holder bills
+// ApplyClaimAnswer applies the home ledger's answer to a claim. If another holder bills
 // the key, this ledger's bill is written off, now or when the request is settled.
-func (l *Ledger) Claimed(group, key string, granted bool, claimedBy string, now Times) Outcome {
+func (l *Ledger) ApplyClaimAnswer(group, key string, granted bool, claimedBy string, now Times) Outcome {
 	old := l.Requests[RequestKey(group, key)]
 	if old == nil || old.GetForeignHome() == "" {
 		return Outcome{Request: old}
--- a/models/quarantine/bench_test.go
+++ b/models/quarantine/bench_test.go
@@ -10,6 +10,6 @@
 	body := make([]byte, 800)
 	b.ReportAllocs()
 	for b.Loop() {
-		_ = Of("organisation", "POST", "/captions/96/e18c?page=14", body)
+		_ = DigestOf("organisation", "POST", "/captions/96/e18c?page=14", body)
 	}
 }
--- a/models/quarantine/chance_test.go
+++ b/models/quarantine/chance_test.go
@@ -36,7 +36,7 @@
 // chanceCall is the next attempt of a call.
 type chanceCall struct {
 	at       time.Duration
-	content  Content
+	content  Digest
 	attempts int
 }
 
@@ -57,7 +57,7 @@
 	rng       *rand.Rand
 	nextCrash crashSchedule
 	tb        *Table
-	recent    [chanceBoxes]Recent
+	recent    [chanceBoxes]RecentSuccesses
 	// ends is when the present start of each target ends, and starts the number of that
 	// start.
 	ends   [chanceTargets]time.Duration
@@ -77,16 +77,16 @@
 func (w *chanceSimulation) run(popularShare float64) int {
 	queue := &chanceQueue{}
 	for n := range chanceCalls {
-		c := Content{byte(n), byte(n >> 8), byte(n >> 16), 1}
+		c := Digest{byte(n), byte(n >> 8), byte(n >> 16), 1}
 		if w.rng.Float64() < popularShare {
-			c = Content{1}
+			c = Digest{1}
 		}
 		heap.Push(queue, chanceCall{at: time.Duration(n) * time.Second / chanceRate, content: c})
 	}
 	for t := range w.ends {
 		w.ends[t] = w.nextCrash(w.rng, t, 0)
 	}
-	held := map[Content]bool{}
+	held := map[Digest]bool{}
 	for queue.Len() > 0 {
 		call := heap.Pop(queue).(chanceCall)
 		if w.tb.Row(call.content).GetHeld() {
@@ -131,7 +131,7 @@
 	last := first + w.exponential(chanceStream)
 	if last <= w.ends[t] {
 		if w.tb.listed[call.content] != nil {
-			w.tb.Take(successReport(last, call.content))
+			w.tb.Apply(successReport(last, call.content))
 		}
 		box.Add(call.content, last)
 		return
@@ -141,8 +141,8 @@
 	if first > w.ends[t] {
 		weight = EarlyEnd
 	}
-	if !box.Has(call.content, w.ends[t]) {
-		w.tb.Take(endReport(w.ends[t], targetEnd(call.content, fmt.Sprint(t, "@", w.starts[t]), weight)))
+	if !box.Contains(call.content, w.ends[t]) {
+		w.tb.Apply(endReport(w.ends[t], targetEnd(call.content, fmt.Sprint(t, "@", w.starts[t]), weight)))
 		w.reportSuccesses(call.content, w.ends[t])
 	}
 	if call.attempts++; call.attempts < chanceAttempts {
@@ -152,13 +152,13 @@
 }
 
 // reportSuccesses reports the success of a listed call for the boxes that served it recently.
-func (w *chanceSimulation) reportSuccesses(c Content, at time.Duration) {
+func (w *chanceSimulation) reportSuccesses(c Digest, at time.Duration) {
 	if w.tb.listed[c] == nil {
 		return
 	}
 	for i := range w.recent {
-		if w.recent[i].Has(c, at) {
-			w.tb.Take(&statev1.ReportCalls{At: at.Milliseconds(), Served: [][]byte{c[:]}})
+		if w.recent[i].Contains(c, at) {
+			w.tb.Apply(&statev1.ReportCalls{At: at.Milliseconds(), Served: [][]byte{c[:]}})
 		}
 	}
 }
--- a/models/quarantine/content.go
+++ b/models/quarantine/content.go
@@ -13,14 +13,14 @@
 	"encoding/hex"
 )
 
-// Content is the digest by which two calls count as the same: the first 128 bits of a
+// Digest is the digest by which two calls count as the same: the first 128 bits of a
 // SHA-256, so that nobody can forge a call with the digest of another one.
-type Content [16]byte
+type Digest [16]byte
 
-// Of returns the digest of a call's payer, method, path and body. Payer, method and
+// DigestOf returns the digest of a call's payer, method, path and body. Payer, method and
 // path are prefixed with their lengths, so that different calls can't yield the same
 // input.
-func Of(payer, method, path string, body []byte) Content {
+func DigestOf(payer, method, path string, body []byte) Digest {
 	h := sha256.New()
 	var length [8]byte
 	for _, part := range []string{payer, method, path} {
@@ -29,13 +29,13 @@
 		_, _ = h.Write([]byte(part))
 	}
 	_, _ = h.Write(body)
-	var c Content
+	var c Digest
 	copy(c[:], h.Sum(nil))
 	return c
 }
 
-// ContentOf returns the digest in data; ok is false if data has the wrong length.
-func ContentOf(data []byte) (c Content, ok bool) {
+// ParseDigest returns the digest in data; ok is false if data has the wrong length.
+func ParseDigest(data []byte) (c Digest, ok bool) {
 	if len(data) != len(c) {
 		return c, false
 	}
@@ -44,4 +44,4 @@
 }
 
 // String returns the digest in hexadecimal, for logs.
-func (c Content) String() string { return hex.EncodeToString(c[:]) }
+func (c Digest) String() string { return hex.EncodeToString(c[:]) }
--- a/models/quarantine/list.go
+++ b/models/quarantine/list.go
@@ -13,14 +13,14 @@
 // decreases. It is safe for concurrent use.
 type List struct {
 	mu       sync.RWMutex
-	rows     map[Content]*statev1.QuarantinedCall
+	rows     map[Digest]*statev1.QuarantinedCall
 	revision uint64
 	reports  uint64
 }
 
-// Take replaces the rows by those of a newer revision, and reports whether it has done
+// Update replaces the rows by those of a newer revision, and reports whether it has done
 // so. reports is the number of the last report of calls that the rows include.
-func (l *List) Take(rows []*statev1.QuarantinedCall, revision, reports uint64) bool {
+func (l *List) Update(rows []*statev1.QuarantinedCall, revision, reports uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if revision < l.revision {
@@ -30,9 +30,9 @@
 	if revision == l.revision {
 		return false
 	}
-	l.rows = make(map[Content]*statev1.QuarantinedCall, len(rows))
+	l.rows = make(map[Digest]*statev1.QuarantinedCall, len(rows))
 	for _, row := range rows {
-		if c, ok := ContentOf(row.GetContent()); ok {
+		if c, ok := ParseDigest(row.GetContent()); ok {
 			l.rows[c] = row
 		}
 	}
@@ -56,15 +56,15 @@
 
 // Row returns the row of a call, nil if the call is not listed. The row must not be
 // modified.
-func (l *List) Row(c Content) *statev1.QuarantinedCall {
+func (l *List) Row(c Digest) *statev1.QuarantinedCall {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	return l.rows[c]
 }
 
-// After returns the revision of the copy and its rows, no rows for a follower that
+// RowsSince returns the revision of the copy and its rows, no rows for a follower that
 // already has that revision.
-func (l *List) After(revision uint64) ([]*statev1.QuarantinedCall, uint64) {
+func (l *List) RowsSince(revision uint64) ([]*statev1.QuarantinedCall, uint64) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	if l.revision <= revision {
@@ -73,9 +73,9 @@
 	return sorted(l.rows), l.revision
 }
 
-// After returns the revision of the table and its listed rows, no rows for a follower
+// ListedSince returns the revision of the table and its listed rows, no rows for a follower
 // that already has that revision.
-func (tb *Table) After(revision uint64) ([]*statev1.QuarantinedCall, uint64) {
+func (tb *Table) ListedSince(revision uint64) ([]*statev1.QuarantinedCall, uint64) {
 	if tb.revision <= revision {
 		return nil, tb.revision
 	}
--- a/models/quarantine/recent.go
+++ b/models/quarantine/recent.go
@@ -16,21 +16,21 @@
 	recentSuccess = 5 * time.Second
 )
 
-// Recent remembers the last successful calls, so that a call that many callers send is
+// RecentSuccesses remembers the last successful calls, so that a call that many callers send is
 // not blamed when several targets crash at the same moment. It is not safe for
 // concurrent use.
-type Recent struct{ newer, older map[Content]time.Duration }
+type RecentSuccesses struct{ newer, older map[Digest]time.Duration }
 
 // Add records a call that succeeded at the given time.
-func (r *Recent) Add(c Content, at time.Duration) {
+func (r *RecentSuccesses) Add(c Digest, at time.Duration) {
 	if r.newer == nil || len(r.newer) >= recentGeneration {
-		r.newer, r.older = make(map[Content]time.Duration, recentGeneration), r.newer
+		r.newer, r.older = make(map[Digest]time.Duration, recentGeneration), r.newer
 	}
 	r.newer[c] = at
 }
 
-// Has reports whether a call succeeded within recentSuccess before now.
-func (r *Recent) Has(c Content, now time.Duration) bool {
+// Contains reports whether a call succeeded within recentSuccess before now.
+func (r *RecentSuccesses) Contains(c Digest, now time.Duration) bool {
 	at, known := r.newer[c]
 	if !known {
 		at, known = r.older[c]
--- a/models/quarantine/table.go
+++ b/models/quarantine/table.go
@@ -57,36 +57,36 @@
 // single clock. The table is deterministic: the same reports in the same order lead to
 // the same table. Rows are replaced, never modified. It is not safe for concurrent use.
 type Table struct {
-	rows map[Content]*statev1.QuarantinedCall
+	rows map[Digest]*statev1.QuarantinedCall
 	// listed are the rows that are sent to all boxes, with short digests in place of the
 	// names of targets. revision increases with their changes.
-	listed   map[Content]*statev1.QuarantinedCall
+	listed   map[Digest]*statev1.QuarantinedCall
 	revision uint64
 	// due holds the contents of all rows, sorted by the time at which they are due.
-	due []Content
+	due []Digest
 	now int64
 	// reports is the number of the last report applied.
 	reports uint64
 }
 
 func NewTable() *Table {
-	return &Table{rows: map[Content]*statev1.QuarantinedCall{}, listed: map[Content]*statev1.QuarantinedCall{}}
+	return &Table{rows: map[Digest]*statev1.QuarantinedCall{}, listed: map[Digest]*statev1.QuarantinedCall{}}
 }
 
-// Verdict says that a call is now held back or released.
-type Verdict struct {
-	Content Content
+// Transition says that a call is now held back or released.
+type Transition struct {
+	Content Digest
 	Row     *statev1.QuarantinedCall
-	// Held is false if the call is released.
-	Held bool
+	// IsHeld is false if the call is released.
+	IsHeld bool
 	// Reason says why the call is released.
 	Reason string
 }
 
 // Reasons for a release.
 const (
-	ReasonServed = "it ended well"
-	ReasonOver   = "its time is over"
+	ReasonServed  = "it ended well"
+	ReasonExpired = "its time is over"
 )
 
 func (tb *Table) Len() int { return len(tb.rows) }
@@ -103,30 +103,30 @@
 func (tb *Table) Listed() []*statev1.QuarantinedCall { return sorted(tb.listed) }
 
 // Row returns the row of a call, nil if there is none.
-func (tb *Table) Row(c Content) *statev1.QuarantinedCall { return tb.rows[c] }
+func (tb *Table) Row(c Digest) *statev1.QuarantinedCall { return tb.rows[c] }
 
-// Take applies a report and returns the calls that are held back or released by it or
+// Apply applies a report and returns the calls that are held back or released by it or
 // by the passage of time. A report may be applied repeatedly: an end counts once for
 // each start of a target.
-func (tb *Table) Take(r *statev1.ReportCalls) []Verdict {
+func (tb *Table) Apply(r *statev1.ReportCalls) []Transition {
 	verdicts := tb.expire(r.GetAt())
 	tb.reports = tb.nextNumber(tb.reports)
 	for _, e := range r.GetEnded() {
-		c, ok := ContentOf(e.GetContent())
+		c, ok := ParseDigest(e.GetContent())
 		if !ok {
 			continue
 		}
 		if row := tb.addEnd(c, e.GetTarget(), e.GetWeight()); row != nil {
-			verdicts = append(verdicts, Verdict{Content: c, Row: row, Held: true})
+			verdicts = append(verdicts, Transition{Content: c, Row: row, IsHeld: true})
 		}
 	}
 	for _, data := range r.GetServed() {
-		c, ok := ContentOf(data)
+		c, ok := ParseDigest(data)
 		if !ok {
 			continue
 		}
 		if row := tb.clear(c); row.GetHeld() {
-			verdicts = append(verdicts, Verdict{Content: c, Row: row, Reason: ReasonServed})
+			verdicts = append(verdicts, Transition{Content: c, Row: row, Reason: ReasonServed})
 		}
 	}
 	return verdicts
@@ -134,7 +134,7 @@
 
 // addEnd counts the end of a target during a call. It returns the row if the call is
 // held back from now on, nil otherwise.
-func (tb *Table) addEnd(c Content, target string, weight uint32) *statev1.QuarantinedCall {
+func (tb *Table) addEnd(c Digest, target string, weight uint32) *statev1.QuarantinedCall {
 	old := tb.rows[c]
 	if slices.Contains(old.GetTargets(), target) {
 		return nil
@@ -170,7 +170,7 @@
 
 // clear clears a call that has succeeded and returns its former row. The new row keeps
 // the starts of targets, since a report that is sent again must not count them anew.
-func (tb *Table) clear(c Content) *statev1.QuarantinedCall {
+func (tb *Table) clear(c Digest) *statev1.QuarantinedCall {
 	row := tb.rows[c]
 	if row == nil {
 		return nil
@@ -192,9 +192,9 @@
 
 // expire applies the passage of time up to at. A call whose hold has ended may run
 // again, and its row is kept for the same time again.
-func (tb *Table) expire(at int64) []Verdict {
+func (tb *Table) expire(at int64) []Transition {
 	tb.now = max(tb.now, at)
-	var released []Verdict
+	var released []Transition
 	for len(tb.due) > 0 {
 		c := tb.due[0]
 		row := tb.rows[c]
@@ -210,7 +210,7 @@
 			Due: tb.now + holdPeriod(row.GetRounds()).Milliseconds(),
 		}
 		tb.put(c, trial)
-		released = append(released, Verdict{Content: c, Row: trial, Reason: ReasonOver})
+		released = append(released, Transition{Content: c, Row: trial, Reason: ReasonExpired})
 	}
 	return released
 }
@@ -220,7 +220,7 @@
 }
 
 // put adds or replaces a row, and evicts another one if the table is full.
-func (tb *Table) put(c Content, row *statev1.QuarantinedCall) {
+func (tb *Table) put(c Digest, row *statev1.QuarantinedCall) {
 	tb.removeDue(c)
 	if tb.rows[c] == nil && len(tb.rows) >= maxRows {
 		tb.remove(tb.lowestWeight())
@@ -233,12 +233,12 @@
 
 // byDue compares contents by the time at which their rows are due. Ties are resolved by
 // content, so that a table loaded from a snapshot has the same order.
-func (tb *Table) byDue(a, b Content) int {
+func (tb *Table) byDue(a, b Digest) int {
 	return cmp.Or(cmp.Compare(tb.rows[a].GetDue(), tb.rows[b].GetDue()), slices.Compare(a[:], b[:]))
 }
 
 // lowestWeight returns the call with the lowest weight, of several the one that is due first.
-func (tb *Table) lowestWeight() Content {
+func (tb *Table) lowestWeight() Digest {
 	best := tb.due[0]
 	for _, c := range tb.due {
 		if tb.rows[c].GetWeight() < tb.rows[best].GetWeight() {
@@ -251,7 +251,7 @@
 // updateListed sets the listed row of a call, if the call is to be listed. The revision
 // increases only if the call was not listed before, or if its weight or whether it is
 // held back has changed.
-func (tb *Table) updateListed(c Content, row *statev1.QuarantinedCall) {
+func (tb *Table) updateListed(c Digest, row *statev1.QuarantinedCall) {
 	previous := tb.listed[c]
 	if !row.GetHeld() && row.GetRounds() == 0 && len(row.GetTargets())-int(row.GetCleared()) < listThreshold {
 		return
@@ -260,7 +260,7 @@
 	if !row.GetHeld() {
 		next.Weight = row.GetWeight()
 		for _, t := range row.GetTargets() {
-			next.Targets = append(next.Targets, Mark(t))
+			next.Targets = append(next.Targets, TargetMark(t))
 		}
 	}
 	tb.listed[c] = next
@@ -269,7 +269,7 @@
 	}
 }
 
-func (tb *Table) remove(c Content) {
+func (tb *Table) remove(c Digest) {
 	if tb.rows[c] == nil {
 		return
 	}
@@ -281,7 +281,7 @@
 	}
 }
 
-func (tb *Table) removeDue(c Content) {
+func (tb *Table) removeDue(c Digest) {
 	if tb.rows[c] != nil {
 		at := slices.Index(tb.due, c)
 		tb.due = slices.Delete(tb.due, at, at+1)
@@ -300,7 +300,7 @@
 }
 
 // sorted returns the rows sorted by content.
-func sorted(rows map[Content]*statev1.QuarantinedCall) []*statev1.QuarantinedCall {
+func sorted(rows map[Digest]*statev1.QuarantinedCall) []*statev1.QuarantinedCall {
 	list := make([]*statev1.QuarantinedCall, 0, len(rows))
 	for _, row := range rows {
 		list = append(list, row)
@@ -313,7 +313,7 @@
 func Load(s *statev1.Snapshot) *Table {
 	tb := NewTable()
 	for _, row := range s.GetQuarantine() {
-		if c, ok := ContentOf(row.GetContent()); ok {
+		if c, ok := ParseDigest(row.GetContent()); ok {
 			tb.put(c, row)
 		}
 	}
--- a/models/quarantine/table_test.go
+++ b/models/quarantine/table_test.go
@@ -18,9 +18,9 @@
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-func testContent(n int) Content { return Content{byte(n), byte(n >> 8), 1} }
+func testContent(n int) Digest { return Digest{byte(n), byte(n >> 8), 1} }
 
-func targetEnd(c Content, target string, weight uint32) *statev1.EndedUnder {
+func targetEnd(c Digest, target string, weight uint32) *statev1.EndedUnder {
 	return &statev1.EndedUnder{Content: c[:], Target: target, Weight: weight}
 }
 
@@ -28,7 +28,7 @@
 	return &statev1.ReportCalls{At: at.Milliseconds(), Ended: ends}
 }
 
-func successReport(at time.Duration, c Content) *statev1.ReportCalls {
+func successReport(at time.Duration, c Digest) *statev1.ReportCalls {
 	return &statev1.ReportCalls{At: at.Milliseconds(), Served: [][]byte{c[:]}}
 }
 
@@ -68,7 +68,7 @@
 		t.Run(name, func(t *testing.T) {
 			tb := NewTable()
 			for _, r := range c.reports {
-				tb.Take(r)
+				tb.Apply(r)
 			}
 			if row := tb.Row(a); row.GetHeld() != c.held || row.GetRounds() != c.rounds {
 				t.Fatalf("held back: %v after %d rounds, want %v after %d", row.GetHeld(), row.GetRounds(), c.held, c.rounds)
@@ -86,15 +86,15 @@
 		{endReport(0, targetEnd(a, "1", EarlyEnd), targetEnd(a, "2", EarlyEnd)), ""},
 		{endReport(1, targetEnd(a, "3", EarlyEnd)), "held "},
 		{endReport(2, targetEnd(a, "4", EarlyEnd)), ""},
-		{endReport(11 * time.Minute), "released " + ReasonOver},
+		{endReport(11 * time.Minute), "released " + ReasonExpired},
 		{endReport(12*time.Minute, targetEnd(a, "5", EarlyEnd)), "held "},
 		{successReport(13*time.Minute, a), "released " + ReasonServed},
 		{successReport(14*time.Minute, a), ""},
 	}
 	for i, step := range steps {
 		got := ""
-		for _, v := range tb.Take(step.report) {
-			got += map[bool]string{true: "held ", false: "released "}[v.Held] + v.Reason
+		for _, v := range tb.Apply(step.report) {
+			got += map[bool]string{true: "held ", false: "released "}[v.IsHeld] + v.Reason
 		}
 		if got != step.want {
 			t.Fatalf("step %d: %q, want %q", i, got, step.want)
@@ -120,7 +120,7 @@
 		{successReport(5, a), 0, true},
 	}
 	for i, step := range steps {
-		tb.Take(step.report)
+		tb.Apply(step.report)
 		if got := len(tb.Listed()); got != step.listed || (tb.Revision() != before) != step.changed {
 			t.Fatalf("step %d: %d calls are listed, revision is %d after %d", i, got, tb.Revision(), before)
 		}
@@ -148,7 +148,7 @@
 		{endReport(8, targetEnd(a, "10", EarlyEnd)), 0, EarlyEnd},
 	}
 	for i, step := range steps {
-		tb.Take(step.report)
+		tb.Apply(step.report)
 		if got := len(tb.Listed()); got != step.listed || tb.Row(a).GetWeight() != step.weight {
 			t.Fatalf("step %d: %d calls are listed and the weight is %d, want %d and %d", i, got, tb.Row(a).GetWeight(), step.listed, step.weight)
 		}
@@ -163,17 +163,17 @@
 func TestTableIsBounded(t *testing.T) {
 	tb := NewTable()
 	for n := range 3 {
-		tb.Take(endReport(0, targetEnd(testContent(1), fmt.Sprint(n), EarlyEnd)))
+		tb.Apply(endReport(0, targetEnd(testContent(1), fmt.Sprint(n), EarlyEnd)))
 	}
-	tb.Take(endReport(0, targetEnd(testContent(2), "1", EarlyEnd), targetEnd(testContent(2), "2", EarlyEnd)))
+	tb.Apply(endReport(0, targetEnd(testContent(2), "1", EarlyEnd), targetEnd(testContent(2), "2", EarlyEnd)))
 	for n := range 2 * maxRows {
-		tb.Take(endReport(time.Second, targetEnd(testContent(10+n), "x", EarlyEnd)))
+		tb.Apply(endReport(time.Second, targetEnd(testContent(10+n), "x", EarlyEnd)))
 	}
 	if tb.Len() != maxRows || !tb.Row(testContent(1)).GetHeld() || tb.Row(testContent(2)).GetWeight() != 2*EarlyEnd {
 		t.Fatalf("table has %d rows; held-back call: %v, suspected call: %v", tb.Len(), tb.Row(testContent(1)), tb.Row(testContent(2)))
 	}
-	tb.Take(endReport(time.Hour))
-	tb.Take(endReport(2 * time.Hour))
+	tb.Apply(endReport(time.Hour))
+	tb.Apply(endReport(2 * time.Hour))
 	if tb.Len() != 0 {
 		t.Fatalf("%d rows are left after all have expired", tb.Len())
 	}
@@ -196,8 +196,8 @@
 				c := testContent(rapid.IntRange(0, 4).Draw(t, "served content"))
 				r.Served = [][]byte{c[:]}
 			}
-			tb.Take(r)
-			copied.Take(r)
+			tb.Apply(r)
+			copied.Apply(r)
 			if rapid.Bool().Draw(t, "restore") {
 				s := &statev1.Snapshot{}
 				copied.Snapshot(s)
@@ -216,8 +216,8 @@
 		if len(tb.due) != len(tb.rows) {
 			t.Fatalf("%d contents are due, but there are %d rows", len(tb.due), len(tb.rows))
 		}
-		tb.Take(endReport(at + 30*time.Hour))
-		tb.Take(endReport(at + 60*time.Hour))
+		tb.Apply(endReport(at + 30*time.Hour))
+		tb.Apply(endReport(at + 60*time.Hour))
 		if tb.Len() != 0 {
 			t.Fatalf("%d rows never expire", tb.Len())
 		}
--- a/models/quarantine/unlisted.go
+++ b/models/quarantine/unlisted.go
@@ -21,18 +21,18 @@
 	markLength = 6
 )
 
-// Mark returns a short digest of the identity of a target's start. The list that is
+// TargetMark returns a short digest of the identity of a target's start. The list that is
 // sent to the boxes has marks in place of names, which suffice to see which ends control
 // has counted.
-func Mark(start string) string {
+func TargetMark(start string) string {
 	sum := sha256.Sum256([]byte(start))
 	return base64.RawURLEncoding.EncodeToString(sum[:markLength])
 }
 
-// Unlisted holds the ends of targets that a box has observed itself and that its copy
+// PendingEnds holds the ends of targets that a box has observed itself and that its copy
 // of control's list may not include yet. Times are on the box's boot clock. It is not
 // safe for concurrent use.
-type Unlisted struct{ calls map[Content]*unlistedCall }
+type PendingEnds struct{ calls map[Digest]*unlistedCall }
 
 type unlistedCall struct {
 	// ends are in the order of observation.
@@ -50,12 +50,12 @@
 	reportNumber uint64
 }
 
-// Has reports whether any ends of a call are held.
-func (u *Unlisted) Has(c Content) bool { return u.calls[c] != nil }
+// Contains reports whether any ends of a call are held.
+func (u *PendingEnds) Contains(c Digest) bool { return u.calls[c] != nil }
 
 // Add records the end of a target during a call. listed is control's row of the call
 // with its time on the boot clock, nil if there is none.
-func (u *Unlisted) Add(c Content, target string, weight uint32, listed *statev1.QuarantinedCall, now time.Duration) {
+func (u *PendingEnds) Add(c Digest, target string, weight uint32, listed *statev1.QuarantinedCall, now time.Duration) {
 	call := u.calls[c]
 	if call == nil {
 		call = u.insert(c)
@@ -77,9 +77,9 @@
 
 // insert adds a call without ends. If there are too many calls, it evicts the one with
 // the fewest ends, of several the one that would expire first.
-func (u *Unlisted) insert(c Content) *unlistedCall {
+func (u *PendingEnds) insert(c Digest) *unlistedCall {
 	if u.calls == nil {
-		u.calls = map[Content]*unlistedCall{}
+		u.calls = map[Digest]*unlistedCall{}
 	}
 	if len(u.calls) >= maxUnlisted {
 		delete(u.calls, u.fewestEnds())
@@ -89,8 +89,8 @@
 	return call
 }
 
-func (u *Unlisted) fewestEnds() Content {
-	var least Content
+func (u *PendingEnds) fewestEnds() Digest {
+	var least Digest
 	var found *unlistedCall
 	for c, call := range u.calls {
 		if found == nil || len(call.ends) < len(found.ends) || len(call.ends) == len(found.ends) && call.expiresAt < found.expiresAt {
@@ -101,9 +101,9 @@
 }
 
 // Acknowledge records that control has accepted a report, under the number in it.
-func (u *Unlisted) Acknowledge(r *statev1.ReportCalls) {
+func (u *PendingEnds) Acknowledge(r *statev1.ReportCalls) {
 	for _, reported := range r.GetEnded() {
-		c, ok := ContentOf(reported.GetContent())
+		c, ok := ParseDigest(reported.GetContent())
 		if !ok || u.calls[c] == nil {
 			continue
 		}
@@ -116,7 +116,7 @@
 }
 
 // Unreported returns up to most ends that control has not acknowledged.
-func (u *Unlisted) Unreported(most int) (ends []*statev1.EndedUnder) {
+func (u *PendingEnds) Unreported(most int) (ends []*statev1.EndedUnder) {
 	for c, call := range u.calls {
 		for _, e := range call.ends {
 			if len(ends) == most {
@@ -130,10 +130,10 @@
 	return ends
 }
 
-// Settle drops the ends that the list includes, and those that it included until the
+// DropListed drops the ends that the list includes, and those that it included until the
 // call was released. A single reported end is kept while the call is not listed, since
 // control doesn't list calls with one end.
-func (u *Unlisted) Settle(l *List, now time.Duration) {
+func (u *PendingEnds) DropListed(l *List, now time.Duration) {
 	reports := l.Reports()
 	for c, call := range u.calls {
 		counted := func(e unlistedEnd) bool { return e.reportNumber != 0 && e.reportNumber <= reports }
@@ -153,12 +153,12 @@
 }
 
 // Forget drops all ends of a call.
-func (u *Unlisted) Forget(c Content) { delete(u.calls, c) }
+func (u *PendingEnds) Forget(c Digest) { delete(u.calls, c) }
 
-// Held reports whether a call is held back, and for how long, when the listed ends and
+// HoldLeft reports whether a call is held back, and for how long, when the listed ends and
 // those of this box are added up, each start of a target counting once. listed is as in
 // Add.
-func (u *Unlisted) Held(c Content, listed *statev1.QuarantinedCall, now time.Duration) (left time.Duration, held bool) {
+func (u *PendingEnds) HoldLeft(c Digest, listed *statev1.QuarantinedCall, now time.Duration) (left time.Duration, held bool) {
 	call := u.calls[c]
 	if call == nil {
 		return 0, false
@@ -171,14 +171,14 @@
 }
 
 // replay returns the row that control would have after further ends.
-func replay(c Content, listed *statev1.QuarantinedCall, ends []unlistedEnd, now time.Duration) *statev1.QuarantinedCall {
+func replay(c Digest, listed *statev1.QuarantinedCall, ends []unlistedEnd, now time.Duration) *statev1.QuarantinedCall {
 	tb := NewTable()
 	if listed != nil {
 		tb.put(c, listed)
 	}
 	for _, e := range ends {
-		end := &statev1.EndedUnder{Content: c[:], Target: Mark(e.target), Weight: e.weight}
-		tb.Take(&statev1.ReportCalls{At: e.at.Milliseconds(), Ended: []*statev1.EndedUnder{end}})
+		end := &statev1.EndedUnder{Content: c[:], Target: TargetMark(e.target), Weight: e.weight}
+		tb.Apply(&statev1.ReportCalls{At: e.at.Milliseconds(), Ended: []*statev1.EndedUnder{end}})
 	}
 	tb.expire(now.Milliseconds())
 	return tb.Row(c)
--- a/models/queue/queue.go
+++ b/models/queue/queue.go
@@ -27,9 +27,9 @@
 	Pool string
 	// Tokens is the request's bound, which is charged when it is taken.
 	Tokens int
-	// Work is the maximum number of tokens that the request may generate, a
+	// MaxOutputTokens is the maximum number of tokens that the request may generate, a
 	// measure of its run time.
-	Work int
+	MaxOutputTokens int
 	// Deadline is the boot time by which the request must be answered.
 	Deadline time.Duration
 	// Payload is the waiting request itself.
@@ -107,9 +107,9 @@
 	return names
 }
 
-// Ahead returns the number of requests in a pool that a new request would wait
+// CountAhead returns the number of requests in a pool that a new request would wait
 // behind. For an interactive request only interactive ones count.
-func (q *Queue) Ahead(poolName string, interactive bool) int {
+func (q *Queue) CountAhead(poolName string, interactive bool) int {
 	p := q.pools[poolName]
 	if p == nil {
 		return 0
@@ -164,9 +164,9 @@
 	}
 }
 
-// Next returns the next request of a pool without removing it, or nil if there
+// Peek returns the next request of a pool without removing it, or nil if there
 // is none. interactiveOnly restricts the choice to interactive requests.
-func (q *Queue) Next(poolName string, interactiveOnly bool) *Item {
+func (q *Queue) Peek(poolName string, interactiveOnly bool) *Item {
 	p := q.pools[poolName]
 	if p == nil {
 		return nil
@@ -198,9 +198,9 @@
 	return best.items[0]
 }
 
-// Take removes a waiting request that is assigned a target and charges its
+// Dequeue removes a waiting request that is assigned a target and charges its
 // tokens.
-func (q *Queue) Take(it *Item) {
+func (q *Queue) Dequeue(it *Item) {
 	p := it.pool
 	p.picks++
 	p.classes[classIndex(it.Interactive)].remove(it)
@@ -245,7 +245,7 @@
 	}
 	heap.Push(h, it)
 	c.count++
-	c.work += it.Work
+	c.work += it.MaxOutputTokens
 }
 
 func (c *priorityClass) remove(it *Item) {
@@ -255,7 +255,7 @@
 		delete(c.byOrganisation, it.Organisation)
 	}
 	c.count--
-	c.work -= it.Work
+	c.work -= it.MaxOutputTokens
 }
 
 // deadlineHeap is a min-heap of one organisation's requests by deadline, then by
--- a/models/queue/queue_test.go
+++ b/models/queue/queue_test.go
@@ -14,11 +14,11 @@
 func drain(q *Queue, n int) map[string]int {
 	counts := map[string]int{}
 	for range n {
-		it := q.Next("m", false)
+		it := q.Peek("m", false)
 		if it == nil {
 			break
 		}
-		q.Take(it)
+		q.Dequeue(it)
 		counts[it.Organisation]++
 		if it.Interactive {
 			counts["interactive"]++
@@ -29,7 +29,7 @@
 
 func add(q *Queue, n int, organisation string, interactive bool, tokens int) {
 	for range n {
-		q.Add(&Item{Organisation: organisation, Interactive: interactive, Pool: "m", Tokens: tokens, Work: tokens, Deadline: time.Hour})
+		q.Add(&Item{Organisation: organisation, Interactive: interactive, Pool: "m", Tokens: tokens, MaxOutputTokens: tokens, Deadline: time.Hour})
 	}
 }
 
@@ -74,20 +74,20 @@
 	q := New(func(string) int { return 1 })
 	var items []*Item
 	for i := range 10 {
-		it := &Item{Organisation: "a", Pool: "m", Tokens: 5, Work: 5, Deadline: time.Duration(10-i) * time.Second}
+		it := &Item{Organisation: "a", Pool: "m", Tokens: 5, MaxOutputTokens: 5, Deadline: time.Duration(10-i) * time.Second}
 		items = append(items, it)
 		q.Add(it)
 	}
-	if q.Next("m", false) != items[9] {
+	if q.Peek("m", false) != items[9] {
 		t.Error("the request with the earliest deadline is not next")
 	}
 	q.Remove(items[9])
 	q.Remove(items[9])
-	if q.Next("m", false) != items[8] || q.Len() != 9 || q.Tokens() != 45 || q.Load("m").Batch != 45 {
+	if q.Peek("m", false) != items[8] || q.Len() != 9 || q.Tokens() != 45 || q.Load("m").Batch != 45 {
 		t.Errorf("after a removal: %d requests, %d tokens, %+v", q.Len(), q.Tokens(), q.Load("m"))
 	}
 	drain(q, 9)
-	if q.Len() != 0 || len(q.Pools()) != 0 || q.Next("m", true) != nil {
+	if q.Len() != 0 || len(q.Pools()) != 0 || q.Peek("m", true) != nil {
 		t.Error("requests are left after all were taken")
 	}
 }
@@ -101,7 +101,7 @@
 			}
 			n := 0
 			for b.Loop() {
-				q.Take(q.Next("m", false))
+				q.Dequeue(q.Peek("m", false))
 				add(q, 1, fmt.Sprint(n%organisations), n%3 == 0, 100)
 				n++
 			}
--- a/models/rate/message.go
+++ b/models/rate/message.go
@@ -16,7 +16,7 @@
 		Target: target, Born: born, Service: service,
 		SentAgo: (now - s.Sent).Milliseconds(), ReceivedAgo: (now - s.Received).Milliseconds(),
 	}
-	if s.Limit == None {
+	if s.Limit == Unlimited {
 		m.None = true
 	} else {
 		m.PerSecond = s.Limit
@@ -24,15 +24,15 @@
 	return m
 }
 
-// OfMessage returns the statement in a message that arrived at now, false if its limit is
+// FromMessage returns the statement in a message that arrived at now, false if its limit is
 // invalid.
-func OfMessage(m *betweenv1.TargetLimit, now time.Duration) (Statement, bool) {
+func FromMessage(m *betweenv1.TargetLimit, now time.Duration) (Statement, bool) {
 	s := Statement{
 		Limit: m.GetPerSecond(),
 		Sent:  now - time.Duration(m.GetSentAgo())*time.Millisecond, Received: now - time.Duration(m.GetReceivedAgo())*time.Millisecond,
 	}
 	if m.GetNone() {
-		s.Limit = None
+		s.Limit = Unlimited
 	}
 	return s, s.Limit >= 0
 }
--- a/models/rate/rate.go
+++ b/models/rate/rate.go
@@ -30,9 +30,9 @@
 	// them. maxWindow is the interval of the sends to a target that accepts none.
 	minWindow = 500 * time.Millisecond
 	maxWindow = 4 * time.Second
-	// Least is the lowest effective rate, in sends a second. With a lower one, nobody
+	// MinRate is the lowest effective rate, in sends a second. With a lower one, nobody
 	// would notice that a limit has ended.
-	Least = 1 / (float64(maxWindow) / float64(time.Second))
+	MinRate = 1 / (float64(maxWindow) / float64(time.Second))
 	// maxSlewRate is the share of the elapsed time by which the fleet's time may be
 	// adjusted. Differences of stepThreshold or more are applied at once. If all were, a clock
 	// that is set back and forth would hand out the sends of a window several times: 37
@@ -114,13 +114,13 @@
 // Phase returns the time since the current window of length minWindow began, and that
 // length.
 func (f Fleet) Phase(now time.Duration) (at, length time.Duration) {
-	return now - f.window(None, now).begins, minWindow
+	return now - f.window(Unlimited, now).begins, minWindow
 }
 
 // sends returns how many sends the window holds for the whole fleet: the whole sends that
 // have accrued at the rate by its end, less those that had accrued by its start.
 func (w window) sends(perSecond float64) int64 {
-	perWindow := max(Least, perSecond) * w.length.Seconds()
+	perWindow := max(MinRate, perSecond) * w.length.Seconds()
 	return int64(math.Floor(perWindow*float64(w.index+1)) - math.Floor(perWindow*float64(w.index)))
 }
 
@@ -190,7 +190,7 @@
 	}
 	longer := w.length > m.window.length
 	m.window, m.shareRate = w, perSecond
-	if perSecond != None {
+	if perSecond != Unlimited {
 		m.share = f.share(perSecond, key, w)
 	}
 	switch {
@@ -207,15 +207,15 @@
 	}
 }
 
-// Open reports whether the box may send at now, if the fleet's rate is perSecond.
-func (m *Meter) Open(f Fleet, perSecond float64, key uint64, now time.Duration) bool {
+// CanSend reports whether the box may send at now, if the fleet's rate is perSecond.
+func (m *Meter) CanSend(f Fleet, perSecond float64, key uint64, now time.Duration) bool {
 	m.advance(f, perSecond, key, now)
 	return m.used < m.share
 }
 
-// Take reports whether the box may send at now, and counts the send if so.
-func (m *Meter) Take(f Fleet, perSecond float64, key uint64, now time.Duration) bool {
-	if !m.Open(f, perSecond, key, now) {
+// Acquire reports whether the box may send at now, and counts the send if so.
+func (m *Meter) Acquire(f Fleet, perSecond float64, key uint64, now time.Duration) bool {
+	if !m.CanSend(f, perSecond, key, now) {
 		return false
 	}
 	m.used++
@@ -223,9 +223,9 @@
 	return true
 }
 
-// Next returns when the next window begins, on the boot clock, and the box's share of it
+// NextShare returns when the next window begins, on the boot clock, and the box's share of it
 // less the sends that are owed.
-func (m *Meter) Next(f Fleet, perSecond float64, key uint64, now time.Duration) (begins time.Duration, part int64) {
+func (m *Meter) NextShare(f Fleet, perSecond float64, key uint64, now time.Duration) (begins time.Duration, part int64) {
 	w := f.window(perSecond, now)
 	next := window{index: w.index + 1, length: w.length, begins: w.begins + w.length}
 	if next.index != m.next.index || next.length != m.next.length || perSecond != m.nextRate {
@@ -238,15 +238,15 @@
 // Count counts a send to a target without a limit, so that it is included if a limit
 // takes effect within the window.
 func (m *Meter) Count(f Fleet, now time.Duration) {
-	m.advance(f, None, 0, now)
+	m.advance(f, Unlimited, 0, now)
 	m.used++
 	m.last = now
 }
 
-// Owe counts a send that must be made even if it exceeds the box's share. In that case it
+// ForceCount counts a send that must be made even if it exceeds the box's share. In that case it
 // is taken off the shares of later windows.
-func (m *Meter) Owe(f Fleet, perSecond float64, key uint64, now time.Duration) {
-	if !m.Take(f, perSecond, key, now) {
+func (m *Meter) ForceCount(f Fleet, perSecond float64, key uint64, now time.Duration) {
+	if !m.Acquire(f, perSecond, key, now) {
 		m.owed++
 		m.last = now
 	}
--- a/models/rate/schedule_test.go
+++ b/models/rate/schedule_test.go
@@ -102,7 +102,7 @@
 
 // at returns the limit that the target states at a time.
 func (s *sim) at(t time.Duration) float64 {
-	limit := None
+	limit := Unlimited
 	for _, c := range s.changes {
 		if c.at <= t {
 			limit = c.limit
@@ -127,7 +127,7 @@
 	for at := 2 * time.Second; at < simDuration; at += time.Duration(3+s.rng.Intn(9)) * time.Second {
 		limit := limits[s.rng.Intn(len(limits))]
 		if len(s.changes) > 0 && s.rng.Intn(4) == 0 {
-			limit = None
+			limit = Unlimited
 		}
 		s.changes = append(s.changes, limitChange{at: at, limit: limit})
 	}
@@ -228,30 +228,30 @@
 	if h.own {
 		h.s.Received = now
 	}
-	if h.own && h.s.Limit != None && b.firstLimitAt < 0 {
+	if h.own && h.s.Limit != Unlimited && b.firstLimitAt < 0 {
 		b.firstLimitAt = now
 	}
-	before := b.limit.Said.Limit
+	before := b.limit.Statement.Limit
 	if s.omitted == newestArrival {
-		b.limit = Limit{Said: h.s, hasStatement: true}
+		b.limit = Limit{Statement: h.s, hasStatement: true}
 	} else {
-		b.limit.Take(h.s)
+		b.limit.Update(h.s)
 	}
-	if !h.own || b.limit.Said.Limit == before && b.limit.hasStatement || now < b.cutUntil || s.omitted == unannounced {
+	if !h.own || b.limit.Statement.Limit == before && b.limit.hasStatement || now < b.cutUntil || s.omitted == unannounced {
 		return
 	}
 	for _, other := range s.boxes {
 		if other != b && now >= other.cutUntil {
-			other.inbox = append(other.inbox, receivedStatement{at: now + time.Duration(s.rng.Int63n(int64(maxAnnounceDelay))), s: b.limit.Said})
+			other.inbox = append(other.inbox, receivedStatement{at: now + time.Duration(s.rng.Int63n(int64(maxAnnounceDelay))), s: b.limit.Statement})
 		}
 	}
 }
 
 func (s *sim) send(b *simBox, now time.Duration) {
-	limit := b.limit.Now(now)
-	if limit == None {
+	limit := b.limit.Rate(now)
+	if limit == Unlimited {
 		b.meter.Count(b.fleet, now)
-	} else if !b.meter.Take(b.fleet, limit, simKey, now) {
+	} else if !b.meter.Acquire(b.fleet, limit, simKey, now) {
 		return
 	}
 	if s.omitted == uncounted {
@@ -293,7 +293,7 @@
 			most = max(most, s.at(t-back))
 		}
 		if t < s.changes[0].at+firstLimitGrace {
-			most = None
+			most = Unlimited
 		}
 		allowed = append(allowed, most)
 	}
--- a/models/rate/statement.go
+++ b/models/rate/statement.go
@@ -22,8 +22,8 @@
 	rampEnd      = 512.0
 )
 
-// None is the limit of a target that has not stated any.
-var None = math.Inf(1)
+// Unlimited is the limit of a target that has not stated any.
+var Unlimited = math.Inf(1)
 
 // Statement is a target's statement of how many sends it accepts from all boxes together.
 type Statement struct {
@@ -56,45 +56,45 @@
 // after a limit has ended, the rising rate at which the target is used again. The zero
 // value is that of a target that has made no statement.
 type Limit struct {
-	Said         Statement
+	Statement    Statement
 	hasStatement bool
 	// rampStart is the rate at which the ramp starts after the end of a limit, zero if there
 	// is no ramp.
 	rampStart float64
 }
 
-// Take records a statement and reports whether the stated limit in force has changed.
-func (l *Limit) Take(s Statement) bool {
+// Update records a statement and reports whether the stated limit in force has changed.
+func (l *Limit) Update(s Statement) bool {
 	if !l.hasStatement {
-		l.hasStatement, l.Said = true, s
-		return s.Limit != None
+		l.hasStatement, l.Statement = true, s
+		return s.Limit != Unlimited
 	}
-	before := l.Said.Limit
-	l.Said = l.Said.Merge(s)
+	before := l.Statement.Limit
+	l.Statement = l.Statement.Merge(s)
 	switch {
-	case l.Said.Limit != None:
+	case l.Statement.Limit != Unlimited:
 		l.rampStart = 0
-	case before != None:
+	case before != Unlimited:
 		l.rampStart = max(minRampStart, before)
 	}
-	return l.Said.Limit != before
+	return l.Statement.Limit != before
 }
 
-// Now returns how many sends a second the target gets from the whole fleet at now, None
+// Rate returns how many sends a second the target gets from the whole fleet at now, None
 // if there is no limit.
-func (l *Limit) Now(now time.Duration) float64 {
+func (l *Limit) Rate(now time.Duration) float64 {
 	switch {
 	case !l.hasStatement:
-		return None
-	case l.Said.Limit != None:
-		return max(Least, l.Said.Limit)
+		return Unlimited
+	case l.Statement.Limit != Unlimited:
+		return max(MinRate, l.Statement.Limit)
 	case l.rampStart == 0:
-		return None
+		return Unlimited
 	}
-	rate := l.rampStart * math.Exp2(float64((now-l.Said.Received)/rampDoubling))
+	rate := l.rampStart * math.Exp2(float64((now-l.Statement.Received)/rampDoubling))
 	if rate >= rampEnd {
 		l.rampStart = 0
-		return None
+		return Unlimited
 	}
 	return rate
 }
--- a/models/routing/delta.go
+++ b/models/routing/delta.go
@@ -59,7 +59,7 @@
 // no meaning and may change.
 func Patch(from *statev1.RoutingTable, d *statev1.RoutingDelta) (*statev1.RoutingTable, error) {
 	if from.GetVersion() != d.GetBase() {
-		return nil, errors.WithStack(ErrOutOfStep{Has: from.GetVersion(), Base: d.GetBase()})
+		return nil, errors.WithStack(ErrBaseMismatch{Has: from.GetVersion(), Base: d.GetBase()})
 	}
 	return &statev1.RoutingTable{
 		Version:  d.GetChanged().GetVersion(),
@@ -87,16 +87,16 @@
 	return append(rows, changed...)
 }
 
-// ErrOutOfStep is returned by Patch for a delta whose base is another version than that
+// ErrBaseMismatch is returned by Patch for a delta whose base is another version than that
 // of the table. Has is the version of the table, Base that of the delta.
-type ErrOutOfStep struct{ Has, Base uint64 }
+type ErrBaseMismatch struct{ Has, Base uint64 }
 
-func (e ErrOutOfStep) Error() string {
+func (e ErrBaseMismatch) Error() string {
 	return "the changes belong to another version of the routing table: ask for the whole table"
 }
 
-// IsErrOutOfStep reports whether the cause of an error is an ErrOutOfStep.
-func IsErrOutOfStep(err error) bool {
-	_, ok := errors.Cause(err).(ErrOutOfStep)
+// IsErrBaseMismatch reports whether the cause of an error is an ErrOutOfStep.
+func IsErrBaseMismatch(err error) bool {
+	_, ok := errors.Cause(err).(ErrBaseMismatch)
 	return ok
 }
--- a/models/routing/routing.go
+++ b/models/routing/routing.go
@@ -34,8 +34,8 @@
 	return errors.WithStack(ErrInvalid{Field: field, Remedy: fmt.Sprintf(remedy, args...)})
 }
 
-// Check validates a routing table. It returns an ErrInvalid for the first invalid field.
-func Check(t *statev1.RoutingTable) error {
+// Validate validates a routing table. It returns an ErrInvalid for the first invalid field.
+func Validate(t *statev1.RoutingTable) error {
 	if t.GetVersion() == 0 {
 		return invalid("version", "must be a whole number above zero")
 	}
@@ -162,15 +162,15 @@
 // Payer returns the payer that a key belongs to, nil for an unknown key.
 func (x *Index) Payer(key string) *statev1.Payer { return x.payers[key] }
 
-// NeedsKeys reports whether calls need a key, which is the case once the table has payers.
-func (x *Index) NeedsKeys() bool { return len(x.Table.GetPayers()) > 0 }
+// RequiresKeys reports whether calls need a key, which is the case once the table has payers.
+func (x *Index) RequiresKeys() bool { return len(x.Table.GetPayers()) > 0 }
 
 // Service returns the service with the given name, nil if there is none.
 func (x *Index) Service(name string) *statev1.Service { return x.services[name] }
 
-// Pick chooses the service of a call by the weights of the route. draw is a random number
+// PickService chooses the service of a call by the weights of the route. draw is a random number
 // in [0, 1).
-func Pick(r *statev1.Route, draw float64) string {
+func PickService(r *statev1.Route, draw float64) string {
 	sum := 0.0
 	for _, s := range r.GetSplits() {
 		sum += float64(s.GetWeight())
@@ -190,7 +190,7 @@
 	return last
 }
 
-// Repeatable reports whether a call of the route may be executed more than once.
-func Repeatable(r *statev1.Route) bool {
+// IsRepeatable reports whether a call of the route may be executed more than once.
+func IsRepeatable(r *statev1.Route) bool {
 	return r.GetKind() == statev1.Route_KIND_SAFE || r.GetKind() == statev1.Route_KIND_STREAM && r.GetResumable()
 }
--- a/models/routing/routing_test.go
+++ b/models/routing/routing_test.go
@@ -47,7 +47,7 @@
 		t.Run(name, func(t *testing.T) {
 			table := proto.CloneOf(validTable())
 			c.modify(table)
-			err := Check(table)
+			err := Validate(table)
 			if c.field == "" {
 				if err != nil {
 					t.Fatal(err)
@@ -80,7 +80,7 @@
 			}
 		})
 	}
-	if x.Payer("k2").GetOrganisation() != "o1" || x.Payer("none") != nil || !x.NeedsKeys() {
+	if x.Payer("k2").GetOrganisation() != "o1" || x.Payer("none") != nil || !x.RequiresKeys() {
 		t.Fatal("index does not find the payers of keys as in the table")
 	}
 }
@@ -90,13 +90,13 @@
 	counts := map[string]int{}
 	const draws = 1000
 	for i := range draws {
-		counts[Pick(r, float64(i)/draws)]++
+		counts[PickService(r, float64(i)/draws)]++
 	}
 	if counts["s1"] != 900 || counts["s2"] != 100 {
 		t.Fatalf("services were picked %v times, want 900 and 100", counts)
 	}
 	r.Splits[1].Weight = 0
-	if got := Pick(r, 0.999999); got != "s1" {
+	if got := PickService(r, 0.999999); got != "s1" {
 		t.Fatalf("picked %s, which has no weight", got)
 	}
 }
@@ -113,7 +113,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			if got := Repeatable(c.route); got != c.want {
+			if got := IsRepeatable(c.route); got != c.want {
 				t.Fatal(got)
 			}
 		})
@@ -121,7 +121,7 @@
 }
 
 func TestErrorsNameTheRemedy(t *testing.T) {
-	err := Check(&statev1.RoutingTable{})
+	err := Validate(&statev1.RoutingTable{})
 	if !strings.Contains(err.Error(), "above zero") {
 		t.Fatal(err)
 	}
--- a/models/spread/health.go
+++ b/models/spread/health.go
@@ -31,10 +31,10 @@
 	maxOutlierShare = 0.34
 )
 
-// Unreached bans a target that could not be reached and returns the length of the
+// BanUnreachable bans a target that could not be reached and returns the length of the
 // ban. It returns zero for a target that is already banned: that call was sent before
 // the ban, and does not lengthen it.
-func (tb *Table) Unreached(t *Target, now time.Duration) time.Duration {
+func (tb *Table) BanUnreachable(t *Target, now time.Duration) time.Duration {
 	if t.unreachableBans > 0 && t.bannedUntil > now {
 		return 0
 	}
@@ -44,16 +44,16 @@
 	return ban
 }
 
-// Replaced bans a target for good because another one has its address. It reports
+// BanReplaced bans a target for good because another one has its address. It reports
 // whether this was not known before.
-func (tb *Table) Replaced(t *Target) bool {
+func (tb *Table) BanReplaced(t *Target) bool {
 	first := !t.replaced
 	t.replaced = true
 	return first
 }
 
-// Reached ends the ban of a target that can be reached again, unless it is an outlier.
-func (tb *Table) Reached(t *Target) {
+// MarkReachable ends the ban of a target that can be reached again, unless it is an outlier.
+func (tb *Table) MarkReachable(t *Target) {
 	if t.unreachableBans == 0 {
 		return
 	}
@@ -63,9 +63,9 @@
 	}
 }
 
-// Ended records the outcome of a call that reached its target. It reports whether the
+// RecordOutcome records the outcome of a call that reached its target. It reports whether the
 // target has now been banned as an outlier.
-func (tb *Table) Ended(t *Target, failed bool, now time.Duration) bool {
+func (tb *Table) RecordOutcome(t *Target, failed bool, now time.Duration) bool {
 	outcome := 0.0
 	if failed {
 		outcome = 1
@@ -106,9 +106,9 @@
 	return t.failureRate > outlierFailureRate && t.failureRate > mean+outlierMargin
 }
 
-// Banned returns the unreachable targets whose ban has ended at now. They are due for
+// DueForProbe returns the unreachable targets whose ban has ended at now. They are due for
 // a probe.
-func (tb *Table) Banned(now time.Duration) []*Target {
+func (tb *Table) DueForProbe(now time.Duration) []*Target {
 	var due []*Target
 	for _, t := range tb.byID {
 		if t.unreachableBans > 0 && t.bannedUntil <= now && !t.replaced {
@@ -118,33 +118,33 @@
 	return due
 }
 
-// Fate says whether and how a target has ended.
-type Fate int
+// EndKind says whether and how a target has ended.
+type EndKind int
 
 const (
-	// FateUnknown means that the target is still running as far as is known.
-	FateUnknown Fate = iota
-	// FateLeft means that the target announced its end.
-	FateLeft
-	// FateReplaced means that another start has the target's id or address, although
+	// EndUnknown means that the target is still running as far as is known.
+	EndUnknown EndKind = iota
+	// EndAnnounced means that the target announced its end.
+	EndAnnounced
+	// EndReplaced means that another start has the target's id or address, although
 	// the target has not announced its end.
-	FateReplaced
+	EndReplaced
 )
 
-// FateOf returns what is known of a target's end.
-func (tb *Table) FateOf(t *Target) Fate {
+// EndOf returns what is known of a target's end.
+func (tb *Table) EndOf(t *Target) EndKind {
 	switch {
 	case t.hasLeft:
-		return FateLeft
+		return EndAnnounced
 	case t.replaced:
-		return FateReplaced
+		return EndReplaced
 	case tb.byID[t.ID] == t:
-		return FateUnknown
+		return EndUnknown
 	case tb.byID[t.ID] != nil || tb.hasAddress(t.Address):
-		return FateReplaced
+		return EndReplaced
 	default:
 		// The target has deregistered.
-		return FateLeft
+		return EndAnnounced
 	}
 }
 
--- a/models/spread/limits.go
+++ b/models/spread/limits.go
@@ -44,73 +44,75 @@
 	topRankSeen time.Duration
 }
 
-// Want says what to do with a call while the limits of all targets of its service keep
+// Backoff says what to do with a call while the limits of all targets of its service keep
 // this box from sending.
-type Want struct {
+type Backoff struct {
 	// Wait is how long the call is to wait for a reserved place in the next window;
 	// the end of the wait must be reported to the table. Zero means that the call is
 	// refused.
 	Wait time.Duration
 	// A refused call may be retried after the first of these times. Retries of several
 	// calls are to be spread over the second one, which follows the first.
-	Earliest, Spread time.Duration
+	RetryAfter, RetrySpread time.Duration
 }
 
 // SetFleet sets the boxes that share the limits, and the fleet's time.
 func (tb *Table) SetFleet(f rate.Fleet) { tb.fleet = f }
 
-// LimitOf returns how many requests a second all boxes together may send to a target
+// CurrentLimit returns how many requests a second all boxes together may send to a target
 // at now, rate.None if it has no limit.
-func (tb *Table) LimitOf(t *Target, now time.Duration) float64 { return t.limit.Now(now) }
+func (tb *Table) CurrentLimit(t *Target, now time.Duration) float64 { return t.limit.Rate(now) }
 
-// Limited reports whether a target has a limit at now.
-func (tb *Table) Limited(t *Target, now time.Duration) bool { return t.limit.Now(now) != rate.None }
+// HasLimit reports whether a target has a limit at now.
+func (tb *Table) HasLimit(t *Target, now time.Duration) bool {
+	return t.limit.Rate(now) != rate.Unlimited
+}
 
 // sendable reports whether this box may send a request to a target at now.
 func (tb *Table) sendable(t *Target, now time.Duration) bool {
-	limit := t.limit.Now(now)
-	return limit == rate.None || t.meter.Open(tb.fleet, limit, t.hash, now)
+	limit := t.limit.Rate(now)
+	return limit == rate.Unlimited || t.meter.CanSend(tb.fleet, limit, t.hash, now)
 }
 
-// Take counts a request that is about to be sent to a target and reports whether it
+// AcquireSend counts a request that is about to be sent to a target and reports whether it
 // may be sent. An owed request is always sent, and is taken off the shares of later
 // windows: it continues a run that another target has already given up.
-func (tb *Table) Take(t *Target, owed bool, now time.Duration) bool {
-	limit := t.limit.Now(now)
+func (tb *Table) AcquireSend(t *Target, owed bool, now time.Duration) bool {
+	limit := t.limit.Rate(now)
 	switch {
-	case limit == rate.None:
+	case limit == rate.Unlimited:
 		t.meter.Count(tb.fleet, now)
 	case owed:
-		t.meter.Owe(tb.fleet, limit, t.hash, now)
+		t.meter.ForceCount(tb.fleet, limit, t.hash, now)
 	default:
-		return t.meter.Take(tb.fleet, limit, t.hash, now)
+		return t.meter.Acquire(tb.fleet, limit, t.hash, now)
 	}
 	return true
 }
 
-// Heard records a statement that a target made to this box. It reports whether the
+// RecordStatement records a statement that a target made to this box. It reports whether the
 // limit has been queued for announcement to the other boxes.
-func (tb *Table) Heard(t *Target, s rate.Statement) (announce bool) {
-	t.limit.Take(s)
-	if t.limit.Said != s {
+func (tb *Table) RecordStatement(t *Target, s rate.Statement) (announce bool) {
+	t.limit.Update(s)
+	if t.limit.Statement != s {
 		return false
 	}
 	t.ownStatement = s
 	return tb.queueAnnouncement(t)
 }
 
-// Learned records a statement that a target made to another box. It returns the
+// RecordPeerStatement records a statement that a target made to another box. It returns the
 // target, nil if that start is not known, and reports whether its limit has changed
 // significantly.
-func (tb *Table) Learned(id string, born int64, service string, s rate.Statement) (t *Target, changed bool) {
+func (tb *Table) RecordPeerStatement(id string, born int64, service string, s rate.Statement) (t *Target, changed bool) {
 	t = tb.byID[id]
 	if t == nil || t.Born != born || t.Service != service {
 		return nil, false
 	}
-	before := t.limit.Said.Limit
+	before := t.limit.Statement.Limit
 	t.isPeerLimitKnown, t.peerLimit = true, s.Limit
-	changed = t.limit.Take(s) && isSignificantChange(before, t.limit.Said.Limit)
-	if t.ownStatement == t.limit.Said {
+	changed = t.limit.Update(s) && isSignificantChange(before, t.limit.Statement.Limit)
+	if t.ownStatement == t.limit.Statement {
 		tb.queueAnnouncement(t)
 	}
 	return t, changed
@@ -119,8 +121,8 @@
 // queueAnnouncement queues a target's limit for announcement, unless the other boxes
 // know it or it is queued already. It reports whether it was queued.
 func (tb *Table) queueAnnouncement(t *Target) bool {
-	limit := t.limit.Said.Limit
-	t.hasStatedLimit = t.hasStatedLimit || limit != rate.None
+	limit := t.limit.Statement.Limit
+	t.hasStatedLimit = t.hasStatedLimit || limit != rate.Unlimited
 	announce := t.hasStatedLimit
 	if t.isPeerLimitKnown {
 		announce = isSignificantChange(t.peerLimit, limit)
@@ -136,39 +138,39 @@
 // isSignificantChange reports whether a limit differs from the known one by more than
 // significantChange.
 func isSignificantChange(known, limit float64) bool {
-	if known == rate.None || limit == rate.None {
+	if known == rate.Unlimited || limit == rate.Unlimited {
 		return known != limit
 	}
 	return math.Abs(limit-known) > significantChange*known
 }
 
-// Untold reports whether limits are queued for announcement to the other boxes.
-func (tb *Table) Untold() bool { return len(tb.unannounced) > 0 }
+// HasAnnouncements reports whether limits are queued for announcement to the other boxes.
+func (tb *Table) HasAnnouncements() bool { return len(tb.unannounced) > 0 }
 
-// TellLimits removes up to most targets from the announcement queue and returns them,
+// TakeAnnouncements removes up to most targets from the announcement queue and returns them,
 // oldest first. Their limits count as known to the other boxes from then on.
-func (tb *Table) TellLimits(most int) []*Target {
+func (tb *Table) TakeAnnouncements(most int) []*Target {
 	n := min(most, len(tb.unannounced))
 	list := tb.unannounced[:n:n]
 	tb.unannounced = tb.unannounced[n:]
 	for _, t := range list {
 		t.unannounced = false
-		t.isPeerLimitKnown, t.peerLimit = true, t.limit.Said.Limit
+		t.isPeerLimitKnown, t.peerLimit = true, t.limit.Statement.Limit
 	}
 	return list
 }
 
-// TellAgain queues targets again whose announcement has failed.
-func (tb *Table) TellAgain(list []*Target) {
+// RequeueAnnouncements queues targets again whose announcement has failed.
+func (tb *Table) RequeueAnnouncements(list []*Target) {
 	for _, t := range list {
 		t.isPeerLimitKnown = false
 		tb.queueAnnouncement(t)
 	}
 }
 
-// TellAll queues all limits that targets have stated to this box itself, for the case
+// AnnounceAll queues all limits that targets have stated to this box itself, for the case
 // that the other boxes know of none.
-func (tb *Table) TellAll() {
+func (tb *Table) AnnounceAll() {
 	for _, t := range tb.byID {
 		if t.ownStatement != (rate.Statement{}) {
 			t.isPeerLimitKnown = false
@@ -177,13 +179,13 @@
 	}
 }
 
-// Said returns the target's statement in force, made to this box or another one.
-func (t *Target) Said() rate.Statement { return t.limit.Said }
+// Statement returns the target's statement in force, made to this box or another one.
+func (t *Target) Statement() rate.Statement { return t.limit.Statement }
 
 // mayUseLimited reports whether a call may be sent to targets with limits if there are
 // no others. While more urgent calls are refused, it may be only in the second half of
 // each window.
-func (tb *Table) mayUseLimited(need Need, now time.Duration) bool {
+func (tb *Table) mayUseLimited(need Criteria, now time.Duration) bool {
 	s := tb.pressure[need.Service]
 	if s == nil || need.Rank <= s.topRank || now-s.topRankSeen > refusalDecay {
 		return true
@@ -192,17 +194,17 @@
 	return at >= length/2
 }
 
-// Shut reports whether limits keep this box from sending to any target of a call's
+// IsExhausted reports whether limits keep this box from sending to any target of a call's
 // service now, and if so what to do with the call.
-func (tb *Table) Shut(need Need, now time.Duration) (Want, bool) {
+func (tb *Table) IsExhausted(need Criteria, now time.Duration) (Backoff, bool) {
 	for _, t := range tb.services[need.Service] {
-		if tb.isUsable(t, need) && t.bannedUntil <= now && !tb.Limited(t, now) {
-			return Want{}, false
+		if tb.isUsable(t, need) && t.bannedUntil <= now && !tb.HasLimit(t, now) {
+			return Backoff{}, false
 		}
 	}
 	found := tb.candidates(need, now)
 	if len(found.sendable) > 0 || len(found.exhausted) == 0 {
-		return Want{}, false
+		return Backoff{}, false
 	}
 	return tb.waitOrRefuse(need, found.exhausted, now), true
 }
@@ -211,16 +213,16 @@
 // call waits for the next window if that begins within its patience and has a place
 // left beside the calls that are waiting already. Otherwise it is refused, with a time
 // to retry.
-func (tb *Table) waitOrRefuse(need Need, exhausted []*Target, now time.Duration) (w Want) {
+func (tb *Table) waitOrRefuse(need Criteria, exhausted []*Target, now time.Duration) (w Backoff) {
 	s := tb.pressure[need.Service]
 	if s == nil {
 		s = &limitPressure{}
 		tb.pressure[need.Service] = s
 	}
 	opens, part := tb.nextShare(exhausted, now)
-	if part > s.waiting && opens-now <= need.Patience {
+	if part > s.waiting && opens-now <= need.MaxWait {
 		s.waiting++
-		return Want{Wait: opens - now}
+		return Backoff{Wait: opens - now}
 	}
 	s.refused = s.refused*math.Exp(-float64(now-s.updated)/float64(refusalDecay)) + 1
 	s.updated = now
@@ -229,12 +231,12 @@
 	}
 	taken := 0.0
 	for _, t := range exhausted {
-		taken += t.limit.Now(now)
+		taken += t.limit.Rate(now)
 	}
-	wait := s.refused * float64(max(1, need.Boxes)) / max(rate.Least, taken)
+	wait := s.refused * float64(max(1, need.Boxes)) / max(rate.MinRate, taken)
 	at, length := tb.fleet.Phase(now)
-	w.Earliest = length - at
-	w.Spread = max(minRetrySpread, time.Duration(min(wait, maxRetrySpread.Seconds())*float64(time.Second)))
+	w.RetryAfter = length - at
+	w.RetrySpread = max(minRetrySpread, time.Duration(min(wait, maxRetrySpread.Seconds())*float64(time.Second)))
 	return w
 }
 
@@ -242,7 +244,7 @@
 // requests this box may then send to these.
 func (tb *Table) nextShare(exhausted []*Target, now time.Duration) (at time.Duration, part int64) {
 	for _, t := range exhausted {
-		begins, own := t.meter.Next(tb.fleet, t.limit.Now(now), t.hash, now)
+		begins, own := t.meter.NextShare(tb.fleet, t.limit.Rate(now), t.hash, now)
 		switch {
 		case own == 0 || part > 0 && begins > at:
 		case part > 0 && begins == at:
@@ -254,5 +256,5 @@
 	return at, part
 }
 
-// Waited records that a call has ended its wait for the next window.
-func (tb *Table) Waited(service string) { tb.pressure[service].waiting-- }
+// EndWait records that a call has ended its wait for the next window.
+func (tb *Table) EndWait(service string) { tb.pressure[service].waiting-- }
--- a/models/spread/limits_test.go
+++ b/models/spread/limits_test.go
@@ -28,8 +28,8 @@
 		tb.Put(&statev1.RegisteredTarget{Id: fmt.Sprint("t", n), Service: "s", Address: fmt.Sprint("10.0.0.1:", n), DataCentre: "dc", State: statev1.RegisteredTarget_STATE_READY})
 	}
 	for _, t := range tb.services["s"] {
-		if perSecond != rate.None {
-			tb.Heard(t, rate.Statement{Limit: perSecond, Received: limitsStart - time.Minute})
+		if perSecond != rate.Unlimited {
+			tb.RecordStatement(t, rate.Statement{Limit: perSecond, Received: limitsStart - time.Minute})
 		}
 	}
 	return tb
@@ -37,22 +37,22 @@
 
 // send chooses a target for a call and counts the request, and reports whether it may
 // be sent.
-func send(tb *Table, need Need, now time.Duration) (Choice, bool) {
+func send(tb *Table, need Criteria, now time.Duration) (Choice, bool) {
 	c := tb.Choose(need, now)
-	return c, c.Target != nil && tb.Take(c.Target, false, now)
+	return c, c.Target != nil && tb.AcquireSend(c.Target, false, now)
 }
 
 // While the limits of a service's targets are used up, the most urgent calls have the
 // first half of each window to themselves, and other calls get what is left.
 func TestUrgentCallsComeFirst(t *testing.T) {
 	tb := newLimitedTable(1, 1, 4)
-	urgent, later := Need{Service: "s", Rank: 1}, Need{Service: "s", Rank: 4}
+	urgent, later := Criteria{Service: "s", Rank: 1}, Criteria{Service: "s", Rank: 4}
 	for n := range 2 {
 		if _, ok := send(tb, later, limitsStart); !ok {
 			t.Fatalf("call %d was not sent, though no more urgent call was refused", n)
 		}
 	}
-	if c, ok := send(tb, urgent, limitsStart); ok || c.Limited != 1 || c.Want.Wait != 0 {
+	if c, ok := send(tb, urgent, limitsStart); ok || c.LimitedTargets != 1 || c.Backoff.Wait != 0 {
 		t.Fatalf("third call in the window was not refused: %+v", c)
 	}
 	next := limitsStart + 500*time.Millisecond
@@ -74,7 +74,7 @@
 // that are already waiting.
 func TestCallsWaitForRoomThatIsThere(t *testing.T) {
 	tb := newLimitedTable(1, 2, 4)
-	need := Need{Service: "s", Patience: 600 * time.Millisecond}
+	need := Criteria{Service: "s", MaxWait: 600 * time.Millisecond}
 	for range 4 {
 		if _, ok := send(tb, need, limitsStart); !ok {
 			t.Fatal("call within the limit was not sent")
@@ -85,9 +85,9 @@
 	for range 6 {
 		c, _ := send(tb, need, now)
 		switch {
-		case c.Want.Wait == 400*time.Millisecond:
+		case c.Backoff.Wait == 400*time.Millisecond:
 			waiting++
-		case c.Want.Earliest > 0 && c.Want.Spread >= minRetrySpread:
+		case c.Backoff.RetryAfter > 0 && c.Backoff.RetrySpread >= minRetrySpread:
 			refused++
 		}
 	}
@@ -95,13 +95,13 @@
 		t.Fatalf("%d calls wait and %d are refused, want 4 and 2", waiting, refused)
 	}
 	for range waiting {
-		tb.Waited("s")
+		tb.EndWait("s")
 		if _, ok := send(tb, need, limitsStart+500*time.Millisecond); !ok {
 			t.Fatal("call was not sent after its wait")
 		}
 	}
-	impatient := Need{Service: "s", Patience: 100 * time.Millisecond}
-	if c, _ := send(tb, impatient, limitsStart+600*time.Millisecond); c.Want.Wait != 0 {
+	impatient := Criteria{Service: "s", MaxWait: 100 * time.Millisecond}
+	if c, _ := send(tb, impatient, limitsStart+600*time.Millisecond); c.Backoff.Wait != 0 {
 		t.Fatal("call waits longer than its patience")
 	}
 }
@@ -113,14 +113,14 @@
 	now := limitsStart
 	var last time.Duration
 	for n := range 60 {
-		c, _ := send(tb, Need{Service: "s", Boxes: 6}, now)
+		c, _ := send(tb, Criteria{Service: "s", Boxes: 6}, now)
 		if c.Target != nil {
 			continue
 		}
-		if c.Want.Spread < last || c.Want.Spread > maxRetrySpread || c.Want.Earliest <= 0 {
-			t.Fatalf("refusal %d: %+v, previous spread %s", n, c.Want, last)
+		if c.Backoff.RetrySpread < last || c.Backoff.RetrySpread > maxRetrySpread || c.Backoff.RetryAfter <= 0 {
+			t.Fatalf("refusal %d: %+v, previous spread %s", n, c.Backoff, last)
 		}
-		last = c.Want.Spread
+		last = c.Backoff.RetrySpread
 	}
 	if last != maxRetrySpread {
 		t.Fatalf("spread is %s after 60 calls, want the maximum", last)
@@ -131,20 +131,20 @@
 // use up the limits, and the set of dedicated targets would change from window to
 // window.
 func TestLimitedTargetsAreNotDedicated(t *testing.T) {
-	tb := newLimitedTable(1, 6, rate.None)
+	tb := newLimitedTable(1, 6, rate.Unlimited)
 	r := tb.prefillOf("s")
 	r.perToken, r.streamsSuffer = float64(time.Millisecond), true
-	tb.SetFleetReading("s", 10*time.Second, limitsStart)
-	need := Need{Service: "s", Tokens: 4000, Pause: 100 * time.Millisecond}
+	tb.SetFleetPrefillLoad("s", 10*time.Second, limitsStart)
+	need := Criteria{Service: "s", UnsharedTokens: 4000, MaxPause: 100 * time.Millisecond}
 	first := tb.Choose(need, limitsStart)
-	if !first.Apart || len(first.Readers) != 2 {
+	if !first.IsDedicated || len(first.Dedicated) != 2 {
 		t.Fatalf("long prompt was placed as %+v", first)
 	}
-	for _, reader := range first.Readers {
-		tb.Heard(reader, rate.Statement{Limit: 5, Received: limitsStart})
+	for _, reader := range first.Dedicated {
+		tb.RecordStatement(reader, rate.Statement{Limit: 5, Received: limitsStart})
 	}
-	for _, reader := range tb.Choose(need, limitsStart).Readers {
-		if tb.Limited(reader, limitsStart) {
+	for _, reader := range tb.Choose(need, limitsStart).Dedicated {
+		if tb.HasLimit(reader, limitsStart) {
 			t.Fatalf("%s has a limit and is dedicated to long prompts", reader.ID)
 		}
 	}
@@ -155,13 +155,13 @@
 	tb := newLimitedTable(1, 1, 1)
 	row := &statev1.RegisteredTarget{Id: "t0", Service: "s", Address: "10.0.0.1:0", DataCentre: "dc", State: statev1.RegisteredTarget_STATE_READY, Born: 7}
 	tb.Put(row)
-	if fresh := tb.services["s"][0]; tb.Limited(fresh, limitsStart) {
+	if fresh := tb.services["s"][0]; tb.HasLimit(fresh, limitsStart) {
 		t.Fatal("restarted target has the limit of the earlier start")
 	}
-	if tg, _ := tb.Learned("t0", 0, "s", rate.Statement{Limit: 1, Received: limitsStart}); tg != nil {
+	if tg, _ := tb.RecordPeerStatement("t0", 0, "s", rate.Statement{Limit: 1, Received: limitsStart}); tg != nil {
 		t.Fatal("limit of the earlier start was applied to the later one")
 	}
-	if tg, _ := tb.Learned("t0", 7, "other", rate.Statement{Limit: 1, Received: limitsStart}); tg != nil {
+	if tg, _ := tb.RecordPeerStatement("t0", 7, "other", rate.Statement{Limit: 1, Received: limitsStart}); tg != nil {
 		t.Fatal("limit was applied to a target of another service with the same id")
 	}
 }
@@ -170,16 +170,16 @@
 func TestALimitThatEndsIsLeftStepByStep(t *testing.T) {
 	tb := newLimitedTable(1, 1, 2)
 	tg := tb.services["s"][0]
-	tb.Heard(tg, rate.Statement{Limit: rate.None, Sent: limitsStart, Received: limitsStart})
-	for after, want := range map[time.Duration]float64{0: 2, time.Second: 4, 3*time.Second + 1: 16, 8 * time.Second: rate.None} {
+	tb.RecordStatement(tg, rate.Statement{Limit: rate.Unlimited, Sent: limitsStart, Received: limitsStart})
+	for after, want := range map[time.Duration]float64{0: 2, time.Second: 4, 3*time.Second + 1: 16, 8 * time.Second: rate.Unlimited} {
 		if after == 8*time.Second {
 			continue
 		}
-		if got := tb.LimitOf(tg, limitsStart+after); got != want {
+		if got := tb.CurrentLimit(tg, limitsStart+after); got != want {
 			t.Errorf("limit after %s is %v a second, want %v", after, got, want)
 		}
 	}
-	if got := tb.LimitOf(tg, limitsStart+8*time.Second); got != rate.None {
+	if got := tb.CurrentLimit(tg, limitsStart+8*time.Second); got != rate.Unlimited {
 		t.Errorf("limit after 8 s is %v a second, want none", got)
 	}
 }
@@ -190,14 +190,14 @@
 	for _, c := range []struct {
 		targets, boxes int
 		limit          float64
-	}{{18, 6, rate.None}, {18, 6, 1}, {264, 360, rate.None}, {264, 360, 1}} {
+	}{{18, 6, rate.Unlimited}, {18, 6, 1}, {264, 360, rate.Unlimited}, {264, 360, 1}} {
 		b.Run(fmt.Sprintf("%d targets, %d boxes, limit %g", c.targets, c.boxes, c.limit), func(b *testing.B) {
 			tb := newLimitedTable(c.boxes, c.targets, c.limit)
 			now := limitsStart
 			for b.Loop() {
 				// One box sends 5 calls a second.
 				now += 200 * time.Millisecond
-				send(tb, Need{Service: "s", Affinity: 7, Boxes: c.boxes}, now)
+				send(tb, Criteria{Service: "s", Affinity: 7, Boxes: c.boxes}, now)
 			}
 		})
 	}
--- a/models/spread/prefill.go
+++ b/models/spread/prefill.go
@@ -171,22 +171,22 @@
 	return min(targets/dedicatedDivisor, r.dedicated)
 }
 
-// Streamed records the longest pause of a stream from a target, and the longest pause
+// RecordStreamPause records the longest pause of a stream from a target, and the longest pause
 // that its route allows; a limit of zero means that there is none.
-func (tb *Table) Streamed(t *Target, pause, limit time.Duration) {
+func (tb *Table) RecordStreamPause(t *Target, pause, limit time.Duration) {
 	if limit > 0 {
 		tb.prefillOf(t.Service).recordStream(pause, limit)
 	}
 }
 
-// Readers returns how many targets of a service are dedicated to long prompts.
-func (tb *Table) Readers(service string, boxes int, now time.Duration) int {
+// DedicatedTargets returns how many targets of a service are dedicated to long prompts.
+func (tb *Table) DedicatedTargets(service string, boxes int, now time.Duration) int {
 	return tb.prefillOf(service).dedicatedTargets(len(tb.services[service]), boxes, now)
 }
 
-// ReadingLoads returns the prefill time per second of this box's long prompts, by
+// PrefillLoads returns the prefill time per second of this box's long prompts, by
 // service. Services with next to none are left out.
-func (tb *Table) ReadingLoads(now time.Duration) map[string]time.Duration {
+func (tb *Table) PrefillLoads(now time.Duration) map[string]time.Duration {
 	loads := map[string]time.Duration{}
 	for service, r := range tb.prefill {
 		if load := r.load(now); load > minReportedLoad {
@@ -196,9 +196,9 @@
 	return loads
 }
 
-// SetFleetReading sets the prefill time per second of the long prompts of all boxes
+// SetFleetPrefillLoad sets the prefill time per second of the long prompts of all boxes
 // for a service.
-func (tb *Table) SetFleetReading(service string, load, now time.Duration) {
+func (tb *Table) SetFleetPrefillLoad(service string, load, now time.Duration) {
 	r := tb.prefillOf(service)
 	r.fleetTotal, r.fleetTotalAt, r.hasFleetTotal = load, now, true
 }
--- a/models/spread/prefill_test.go
+++ b/models/spread/prefill_test.go
@@ -15,7 +15,7 @@
 func newSufferingTable() *Table {
 	tb := newTestTable(12)
 	for range 20 {
-		tb.Read(tb.byID["t0"], 4000, 100*time.Millisecond)
+		tb.RecordPrefill(tb.byID["t0"], 4000, 100*time.Millisecond)
 	}
 	recordStreams(tb, 1)
 	return tb
@@ -28,7 +28,7 @@
 		if i%every == 0 {
 			pause = 2 * testPause
 		}
-		tb.Streamed(tb.byID["t0"], pause, testPause)
+		tb.RecordStreamPause(tb.byID["t0"], pause, testPause)
 	}
 }
 
@@ -40,8 +40,8 @@
 	return tb
 }
 
-func longPrompt(affinity uint64) Need {
-	return Need{Service: "s", Affinity: affinity, Tokens: 20000, Pause: testPause, Boxes: 7}
+func longPrompt(affinity uint64) Criteria {
+	return Criteria{Service: "s", Affinity: affinity, UnsharedTokens: 20000, MaxPause: testPause, Boxes: 7}
 }
 
 func TestLongPromptsGoToDedicatedTargets(t *testing.T) {
@@ -49,7 +49,7 @@
 	readers := map[string]bool{}
 	for key := uint64(1); key < 30; key++ {
 		c := tb.Choose(longPrompt(key), 0)
-		if !c.Apart || c.Home == nil || c.Home == c.Target {
+		if !c.IsDedicated || c.AffinityTarget == nil || c.AffinityTarget == c.Target {
 			t.Fatalf("long prompt was placed as %+v", c)
 		}
 		readers[c.Target.ID] = true
@@ -58,8 +58,8 @@
 		t.Fatalf("long prompts went to %v, want at most a third of the targets", readers)
 	}
 	for key := uint64(1); key < 100; key++ {
-		short := Need{Service: "s", Affinity: key, Tokens: 600, Pause: testPause, Boxes: 7}
-		if c := tb.Choose(short, 0); c.Apart || readers[c.Target.ID] {
+		short := Criteria{Service: "s", Affinity: key, UnsharedTokens: 600, MaxPause: testPause, Boxes: 7}
+		if c := tb.Choose(short, 0); c.IsDedicated || readers[c.Target.ID] {
 			t.Fatalf("short prompt went to %s, which is dedicated to long ones", c.Target.ID)
 		}
 	}
@@ -70,7 +70,7 @@
 	tb.Choose(longPrompt(1), 0)
 	used := map[string]bool{}
 	for key := uint64(1); key < 300; key++ {
-		used[tb.Choose(Need{Service: "s", Affinity: key, Tokens: 600, Pause: testPause}, 100*loadDecay).Target.ID] = true
+		used[tb.Choose(Criteria{Service: "s", Affinity: key, UnsharedTokens: 600, MaxPause: testPause}, 100*loadDecay).Target.ID] = true
 	}
 	if len(used) != 12 {
 		t.Fatalf("only %d of 12 targets are used long after the last long prompt", len(used))
@@ -80,17 +80,17 @@
 func TestNoDedicatedTargets(t *testing.T) {
 	tests := map[string]struct {
 		table *Table
-		need  Need
+		need  Criteria
 	}{
 		"prefill speed unknown": {table: newTestTable(12), need: longPrompt(1)},
 		"no stream suffers":     {table: newSparedTable(), need: longPrompt(1)},
-		"short prompt":          {table: newSufferingTable(), need: Need{Service: "s", Tokens: 4000, Pause: testPause}},
-		"no bound on pauses":    {table: newSufferingTable(), need: Need{Service: "s", Tokens: 40000}},
+		"short prompt":          {table: newSufferingTable(), need: Criteria{Service: "s", UnsharedTokens: 4000, MaxPause: testPause}},
+		"no bound on pauses":    {table: newSufferingTable(), need: Criteria{Service: "s", UnsharedTokens: 40000}},
 		"too few targets":       {table: newTestTable(dedicatedDivisor - 1), need: longPrompt(1)},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			if c := test.table.Choose(test.need, 0); c.Target == nil || c.Apart {
+			if c := test.table.Choose(test.need, 0); c.Target == nil || c.IsDedicated {
 				t.Fatalf("prompt was placed as %+v", c)
 			}
 		})
@@ -105,14 +105,14 @@
 		if i%2 == 0 {
 			first *= 10
 		}
-		tb.Read(tb.byID["t0"], 4000, first)
+		tb.RecordPrefill(tb.byID["t0"], 4000, first)
 	}
 	if got := tb.prefillOf("s").prefillTime(4000); got < 60*time.Millisecond || got > 200*time.Millisecond {
 		t.Fatalf("expected prefill time of 4,000 tokens is %s", got)
 	}
 	before := tb.prefillOf("s").prefillTime(4000)
-	tb.Read(tb.byID["t0"], minSampleTokens-1, time.Hour)
-	tb.Read(tb.byID["t0"], 4000, -time.Second)
+	tb.RecordPrefill(tb.byID["t0"], minSampleTokens-1, time.Hour)
+	tb.RecordPrefill(tb.byID["t0"], 4000, -time.Second)
 	if tb.prefillOf("s").prefillTime(4000) != before {
 		t.Fatal("prefill speed changed with an unusable sample")
 	}
@@ -140,16 +140,16 @@
 	busy.Choose(longPrompt(1), 0)
 	for _, step := range steps {
 		for name, tb := range map[string]*Table{"busy": busy, "idle": idle} {
-			tb.SetFleetReading("s", step.load, time.Second)
+			tb.SetFleetPrefillLoad("s", step.load, time.Second)
 			if got := tb.prefillOf("s").dedicatedTargets(12, 7, time.Second); got != step.readers {
 				t.Errorf("%s, %s box: %d dedicated targets, want %d", step.name, name, got, step.readers)
 			}
 		}
 	}
-	if loads := busy.ReadingLoads(time.Second); loads["s"] == 0 {
+	if loads := busy.PrefillLoads(time.Second); loads["s"] == 0 {
 		t.Error("box with a long prompt reports no load")
 	}
-	if loads := idle.ReadingLoads(time.Second); len(loads) != 0 {
+	if loads := idle.PrefillLoads(time.Second); len(loads) != 0 {
 		t.Errorf("idle box reports a load: %v", loads)
 	}
 }
@@ -171,12 +171,12 @@
 	for _, step := range steps {
 		recordStreams(tb, step.every)
 		tb.Choose(longPrompt(1), 0)
-		if c := tb.Choose(longPrompt(1), 0); c.Apart != step.isDedicated {
-			t.Fatalf("%s: long prompt on a dedicated target: %v", step.name, c.Apart)
+		if c := tb.Choose(longPrompt(1), 0); c.IsDedicated != step.isDedicated {
+			t.Fatalf("%s: long prompt on a dedicated target: %v", step.name, c.IsDedicated)
 		}
 	}
-	tb.Streamed(tb.byID["t0"], time.Hour, 0)
-	if loads := tb.ReadingLoads(0); len(loads) != 1 {
+	tb.RecordStreamPause(tb.byID["t0"], time.Hour, 0)
+	if loads := tb.PrefillLoads(0); len(loads) != 1 {
 		t.Fatalf("stream without a bound on pauses changed the reported loads: %v", loads)
 	}
 }
--- a/models/spread/spread.go
+++ b/models/spread/spread.go
@@ -55,10 +55,10 @@
 	DataCentre string
 
 	Draining bool
-	// Running counts this box's calls at the target.
-	Running int
-	// Waiting counts the prompt tokens of this box's calls that have had no event yet.
-	Waiting int
+	// RunningCalls counts this box's calls at the target.
+	RunningCalls int
+	// WaitingTokens counts the prompt tokens of this box's calls that have had no event yet.
+	WaitingTokens int
 	// limit is what the target accepts from all boxes, meter what this box has sent.
 	limit rate.Limit
 	meter rate.Meter
@@ -70,9 +70,9 @@
 	// once it has stated any limit.
 	peerLimit                                     float64
 	isPeerLimitKnown, unannounced, hasStatedLimit bool
-	// CallsSent counts this box's calls to the target, OwnSent the queries and orders
+	// CallsSent counts this box's calls to the target, InternalSent the queries and orders
 	// that this box sent on its own behalf.
-	CallsSent, OwnSent uint64
+	CallsSent, InternalSent uint64
 
 	hash  uint64
 	start string
@@ -92,9 +92,9 @@
 	failureRate  float64
 }
 
-// Start identifies this start of the target: by id and start time, or by the id alone
+// StartIdentity identifies this start of the target: by id and start time, or by the id alone
 // if the start time is not known.
-func (t *Target) Start() string { return t.start }
+func (t *Target) StartIdentity() string { return t.start }
 
 func startIdentity(id string, born int64) string {
 	if born == 0 {
@@ -168,8 +168,8 @@
 	}
 }
 
-// Keep removes every target that is not among the ids.
-func (tb *Table) Keep(ids map[string]bool) {
+// RetainOnly removes every target that is not among the ids.
+func (tb *Table) RetainOnly(ids map[string]bool) {
 	for id, t := range tb.byID {
 		if !ids[id] {
 			tb.remove(t)
@@ -179,65 +179,65 @@
 
 func (tb *Table) Len() int { return len(tb.byID) }
 
-// Need describes a call for the choice of its target.
-type Need struct {
+// Criteria describes a call for the choice of its target.
+type Criteria struct {
 	Service string
 	// Affinity is the hash of the shared prefix of the prompt, zero without one.
 	Affinity uint64
-	// Tokens counts the prompt tokens that are not shared with other calls.
-	Tokens int
-	// Pause is the longest pause that the route allows a stream, zero for no bound.
-	Pause time.Duration
+	// UnsharedTokens counts the prompt tokens that are not shared with other calls.
+	UnsharedTokens int
+	// MaxPause is the longest pause that the route allows a stream, zero for no bound.
+	MaxPause time.Duration
 	// Boxes is how many boxes send calls. Each sees only its own.
 	Boxes int
 	// Exclude names the starts of targets that have had the call.
 	Exclude map[string]bool
 	// Rank is the urgency of the call, zero being the most urgent. Patience is how long
 	// it may wait for a target whose limit is used up.
-	Rank     uint32
-	Patience time.Duration
+	Rank    uint32
+	MaxWait time.Duration
 }
 
 // Choice is the result of Choose.
 type Choice struct {
 	// Target is nil if no target can take the call now.
 	Target *Target
-	// Apart is set if the prompt is long and Target is dedicated to long prompts.
-	Apart bool
-	// Readers are the dedicated targets to ask for their queues, for a long prompt.
-	Readers []*Target
-	// Home is the target that a long prompt would have had without dedicated targets; nil
+	// IsDedicated is set if the prompt is long and Target is dedicated to long prompts.
+	IsDedicated bool
+	// Dedicated are the dedicated targets to ask for their queues, for a long prompt.
+	Dedicated []*Target
+	// AffinityTarget is the target that a long prompt would have had without dedicated targets; nil
 	// for other calls.
-	Home *Target
-	// Source is the target from which the cache of the shared prefix can be copied, nil
+	AffinityTarget *Target
+	// CacheSource is the target from which the cache of the shared prefix can be copied, nil
 	// if that is Target itself or the prompt has no shared prefix.
-	Source *Target
-	// Reading is the expected prefill time of the prompt, zero if unknown.
-	Reading time.Duration
-	// Limited counts the targets whose limits keep this box from sending to them now.
-	Limited int
-	// Want says what to do with the call if there are no others.
-	Want Want
+	CacheSource *Target
+	// PrefillTime is the expected prefill time of the prompt, zero if unknown.
+	PrefillTime time.Duration
+	// LimitedTargets counts the targets whose limits keep this box from sending to them now.
+	LimitedTargets int
+	// Backoff says what to do with the call if there are no others.
+	Backoff Backoff
 }
 
 // Choose returns the target for a call. Draining targets are never chosen, and banned
 // ones only if all others are banned as well.
-func (tb *Table) Choose(need Need, now time.Duration) Choice {
+func (tb *Table) Choose(need Criteria, now time.Duration) Choice {
 	c := Choice{}
 	found := tb.candidates(need, now)
 	candidates := found.sendable
-	c.Limited = len(found.exhausted)
+	c.LimitedTargets = len(found.exhausted)
 	if len(candidates) == 0 {
-		if c.Limited > 0 {
-			c.Want = tb.waitOrRefuse(need, found.exhausted, now)
+		if c.LimitedTargets > 0 {
+			c.Backoff = tb.waitOrRefuse(need, found.exhausted, now)
 		}
 		return c
 	}
 	r := tb.prefillOf(need.Service)
-	c.Reading = r.prefillTime(need.Tokens)
-	long := need.Pause > 0 && float64(c.Reading) > longPrefillShare*float64(need.Pause)
+	c.PrefillTime = r.prefillTime(need.UnsharedTokens)
+	long := need.MaxPause > 0 && float64(c.PrefillTime) > longPrefillShare*float64(need.MaxPause)
 	if long {
-		r.addLongPrompt(c.Reading, now)
+		r.addLongPrompt(c.PrefillTime, now)
 	}
 	// Targets with limits come last and are never dedicated to long prompts: the set of
 	// dedicated targets must not change from window to window, and querying their queues
@@ -246,15 +246,15 @@
 	readers, others := candidates[:n], candidates[n:]
 	c.Target = tb.pick(need, others)
 	if long && len(readers) > 0 {
-		c.Apart = true
-		c.Home, c.Target = c.Target, leastWaiting(readers, need.Affinity)
-		c.Readers = targetsToQuery(readers, need.Affinity)
+		c.IsDedicated = true
+		c.AffinityTarget, c.Target = c.Target, leastWaiting(readers, need.Affinity)
+		c.Dedicated = targetsToQuery(readers, need.Affinity)
 	}
 	if need.Affinity != 0 {
-		c.Source = highestScore(others, need.Affinity, func(*Target) bool { return true })
+		c.CacheSource = highestScore(others, need.Affinity, func(*Target) bool { return true })
 	}
-	if c.Source == c.Target {
-		c.Source = nil
+	if c.CacheSource == c.Target {
+		c.CacheSource = nil
 	}
 	return c
 }
@@ -282,32 +282,32 @@
 func leastWaiting(candidates []*Target, affinity uint64) *Target {
 	least := math.MaxInt
 	for _, t := range candidates {
-		least = min(least, t.Waiting)
+		least = min(least, t.WaitingTokens)
 	}
-	return highestScore(candidates, affinity, func(t *Target) bool { return t.Waiting == least })
+	return highestScore(candidates, affinity, func(t *Target) bool { return t.WaitingTokens == least })
 }
 
-// Read records the time from a call to its first event, for a prompt with the given
+// RecordPrefill records the time from a call to its first event, for a prompt with the given
 // number of unshared tokens.
-func (tb *Table) Read(t *Target, tokens int, first time.Duration) {
+func (tb *Table) RecordPrefill(t *Target, tokens int, first time.Duration) {
 	tb.prefillOf(t.Service).recordPrefill(tokens, first)
 }
 
 // pick chooses among the candidates for a call: by the shared prefix as far as their
 // loads allow, otherwise the least loaded.
-func (tb *Table) pick(need Need, candidates []*Target) *Target {
+func (tb *Table) pick(need Criteria, candidates []*Target) *Target {
 	if need.Affinity == 0 {
 		return tb.leastLoaded(candidates)
 	}
 	total := 0
 	for _, t := range candidates {
-		total += t.Running
+		total += t.RunningCalls
 	}
 	boxes := max(1, need.Boxes)
 	bound := loadBound*float64(total)/float64(len(candidates)) + loadSlack/float64(boxes)
-	belowBound := func(t *Target) bool { return float64(t.Running) <= bound }
+	belowBound := func(t *Target) bool { return float64(t.RunningCalls) <= bound }
 	share := tb.prefillOf(need.Service).tokensIn(maxWaitingTime, defaultMaxWaitingTokens) / boxes
-	fewWaiting := func(t *Target) bool { return belowBound(t) && t.Waiting < share }
+	fewWaiting := func(t *Target) bool { return belowBound(t) && t.WaitingTokens < share }
 	if best := highestScore(candidates, need.Affinity, fewWaiting); best != nil {
 		return best
 	}
@@ -344,13 +344,13 @@
 }
 
 // isUsable reports whether a target may have a call, bans and limits aside.
-func (tb *Table) isUsable(t *Target, need Need) bool {
+func (tb *Table) isUsable(t *Target, need Criteria) bool {
 	return !t.Draining && !t.replaced && !need.Exclude[t.start]
 }
 
 // candidates returns the targets that a call may go to. Banned targets are included
 // only if there are no others.
-func (tb *Table) candidates(need Need, now time.Duration) candidateSet {
+func (tb *Table) candidates(need Criteria, now time.Duration) candidateSet {
 	var found candidateSet
 	var limited, banned []*Target
 	for _, t := range tb.services[need.Service] {
@@ -358,7 +358,7 @@
 		case !tb.isUsable(t, need):
 		case t.bannedUntil > now:
 			banned = append(banned, t)
-		case !tb.Limited(t, now):
+		case !tb.HasLimit(t, now):
 			found.sendable = append(found.sendable, t)
 		case tb.sendable(t, now):
 			limited = append(limited, t)
@@ -387,7 +387,7 @@
 	var best *Target
 	bestCost := math.Inf(1)
 	for _, t := range candidates {
-		cost := float64(t.Running) + 4*t.failureRate
+		cost := float64(t.RunningCalls) + 4*t.failureRate
 		if t.DataCentre != tb.dataCentre {
 			cost += remoteCost
 		}
--- a/models/spread/spread_test.go
+++ b/models/spread/spread_test.go
@@ -27,7 +27,7 @@
 	}
 	used := map[string]int{}
 	for key := uint64(1); key < 200; key++ {
-		x, y := a.Choose(Need{Service: "s", Affinity: key}, 0).Target, b.Choose(Need{Service: "s", Affinity: key}, 0).Target
+		x, y := a.Choose(Criteria{Service: "s", Affinity: key}, 0).Target, b.Choose(Criteria{Service: "s", Affinity: key}, 0).Target
 		if x.ID != y.ID {
 			t.Fatalf("key %d goes to %s on one box and to %s on the other", key, x.ID, y.ID)
 		}
@@ -40,9 +40,9 @@
 
 func TestAffinityGivesWayToLoad(t *testing.T) {
 	tb := newTestTable(4)
-	need := Need{Service: "s", Affinity: 7}
+	need := Criteria{Service: "s", Affinity: 7}
 	first := tb.Choose(need, 0).Target
-	first.Running = 50
+	first.RunningCalls = 50
 	if second := tb.Choose(need, 0).Target; second == first {
 		t.Fatal("target far above the mean load was chosen again")
 	}
@@ -53,19 +53,19 @@
 // first.
 func TestAffinityGivesWayToWaitingPrompts(t *testing.T) {
 	tb := newTestTable(4)
-	need := Need{Service: "s", Affinity: 7, Boxes: 6}
+	need := Criteria{Service: "s", Affinity: 7, Boxes: 6}
 	first := tb.Choose(need, 0).Target
-	first.Waiting = defaultMaxWaitingTokens / 6
+	first.WaitingTokens = defaultMaxWaitingTokens / 6
 	second := tb.Choose(need, 0).Target
 	if second == first || tb.Choose(need, 0).Target != second {
 		t.Fatalf("chose %s, then %s, want the same second target twice", first.ID, second.ID)
 	}
-	first.Waiting--
+	first.WaitingTokens--
 	if got := tb.Choose(need, 0).Target; got != first {
 		t.Fatalf("chose %s although the first target is below the bound", got.ID)
 	}
 	for _, other := range tb.byID {
-		other.Waiting = defaultMaxWaitingTokens
+		other.WaitingTokens = defaultMaxWaitingTokens
 	}
 	if got := tb.Choose(need, 0).Target; got != first {
 		t.Fatalf("chose %s while prompts wait everywhere, want the first target", got.ID)
@@ -75,41 +75,41 @@
 func TestLeastLoadedPrefersItsDataCentre(t *testing.T) {
 	tb := newTestTable(4)
 	for i, want := range []string{"dc-a", "dc-a", "dc-b", "dc-b"} {
-		got := tb.Choose(Need{Service: "s"}, 0).Target
+		got := tb.Choose(Criteria{Service: "s"}, 0).Target
 		if got.DataCentre != want {
 			t.Fatalf("call %d went to data centre %s, want %s", i, got.DataCentre, want)
 		}
-		got.Running++
+		got.RunningCalls++
 	}
 }
 
 func TestUnreachableTargetIsBanned(t *testing.T) {
 	tb := newTestTable(2)
-	bad := tb.Choose(Need{Service: "s"}, 0).Target
-	tb.Unreached(bad, 0)
-	if tb.Choose(Need{Service: "s"}, time.Millisecond).Target == bad {
+	bad := tb.Choose(Criteria{Service: "s"}, 0).Target
+	tb.BanUnreachable(bad, 0)
+	if tb.Choose(Criteria{Service: "s"}, time.Millisecond).Target == bad {
 		t.Fatal("unreachable target was chosen although another one is healthy")
 	}
-	if got := tb.Choose(Need{Service: "s", Exclude: map[string]bool{"t0": bad.ID != "t0", "t1": bad.ID != "t1"}}, time.Millisecond).Target; got != bad {
+	if got := tb.Choose(Criteria{Service: "s", Exclude: map[string]bool{"t0": bad.ID != "t0", "t1": bad.ID != "t1"}}, time.Millisecond).Target; got != bad {
 		t.Fatal("unreachable target was not chosen although it is the only one left")
 	}
-	if due := tb.Banned(time.Hour); len(due) != 1 || due[0] != bad {
+	if due := tb.DueForProbe(time.Hour); len(due) != 1 || due[0] != bad {
 		t.Fatalf("targets due for a probe: %v, want the unreachable one", due)
 	}
-	tb.Reached(bad)
-	if len(tb.Banned(time.Hour)) != 0 {
+	tb.MarkReachable(bad)
+	if len(tb.DueForProbe(time.Hour)) != 0 {
 		t.Fatal("target is still banned after it was reached")
 	}
 }
 
 func TestBansGrowAndAreBounded(t *testing.T) {
 	tb := newTestTable(1)
-	target := tb.Choose(Need{Service: "s"}, 0).Target
+	target := tb.Choose(Criteria{Service: "s"}, 0).Target
 	last := time.Duration(0)
 	now := time.Duration(0)
 	for range 12 {
-		ban := tb.Unreached(target, now)
-		if again := tb.Unreached(target, now); again != 0 {
+		ban := tb.BanUnreachable(target, now)
+		if again := tb.BanUnreachable(target, now); again != 0 {
 			t.Fatalf("call that failed during the ban lengthened it by %s", again)
 		}
 		now += ban
@@ -144,7 +144,7 @@
 			banned := map[string]bool{}
 			for round := range 40 {
 				for id, target := range tb.byID {
-					if tb.Ended(target, fails[id] && round%2 == 0, time.Second) {
+					if tb.RecordOutcome(target, fails[id] && round%2 == 0, time.Second) {
 						banned[id] = true
 					}
 				}
@@ -160,13 +160,13 @@
 	tb := newTestTable(2)
 	tb.Put(&statev1.RegisteredTarget{Id: "t0", Service: "s", State: statev1.RegisteredTarget_STATE_DRAINING})
 	tb.Put(&statev1.RegisteredTarget{Id: "t1", Service: "s", State: statev1.RegisteredTarget_STATE_GONE})
-	if got := tb.Choose(Need{Service: "s"}, 0).Target; got != nil {
+	if got := tb.Choose(Criteria{Service: "s"}, 0).Target; got != nil {
 		t.Fatalf("chose %s, want no target", got.ID)
 	}
 	if tb.Len() != 1 {
 		t.Fatalf("%d targets are known, want 1", tb.Len())
 	}
-	tb.Keep(map[string]bool{})
+	tb.RetainOnly(map[string]bool{})
 	if tb.Len() != 0 {
 		t.Fatal("target that is no longer registered was kept")
 	}
@@ -180,11 +180,11 @@
 		failed := 0
 		for _, target := range tb.byID {
 			if target.DataCentre == centre && failed < 3 {
-				tb.Unreached(target, 0)
+				tb.BanUnreachable(target, 0)
 				failed++
 			}
 		}
-		if due := tb.Banned(minBan); len(due) != failed {
+		if due := tb.DueForProbe(minBan); len(due) != failed {
 			t.Fatalf("%d targets of %s are banned, want %d", len(due), centre, failed)
 		}
 	}
@@ -197,11 +197,11 @@
 	for name, boxes := range map[string]int{"one box": 1, "many": 30} {
 		t.Run(name, func(t *testing.T) {
 			tb := newTestTable(4)
-			need := Need{Service: "s", Affinity: 7, Boxes: boxes}
+			need := Criteria{Service: "s", Affinity: 7, Boxes: boxes}
 			first := tb.Choose(need, 0).Target
 			calls := 0
 			for tb.Choose(need, 0).Target == first {
-				first.Running++
+				first.RunningCalls++
 				calls++
 			}
 			// While the other targets are idle, the first takes the slack of the fleet
@@ -218,16 +218,16 @@
 	for name, perToken := range map[string]time.Duration{"fast": 10 * time.Microsecond, "slow": 50 * time.Microsecond} {
 		t.Run(name, func(t *testing.T) {
 			tb := newTestTable(4)
-			need := Need{Service: "s", Affinity: 7, Boxes: 1}
+			need := Criteria{Service: "s", Affinity: 7, Boxes: 1}
 			first := tb.Choose(need, 0).Target
 			for range 200 {
-				tb.Read(first, 10000, 10000*perToken)
+				tb.RecordPrefill(first, 10000, 10000*perToken)
 			}
-			first.Waiting = int(maxWaitingTime/perToken) * 8 / 10
+			first.WaitingTokens = int(maxWaitingTime/perToken) * 8 / 10
 			if got := tb.Choose(need, 0).Target; got != first {
 				t.Fatalf("chose %s although the first target is below the bound", got.ID)
 			}
-			first.Waiting = int(maxWaitingTime/perToken) * 12 / 10
+			first.WaitingTokens = int(maxWaitingTime/perToken) * 12 / 10
 			if got := tb.Choose(need, 0).Target; got == first {
 				t.Fatal("chose the first target although it is above the bound")
 			}
--- a/models/state/budget.go
+++ b/models/state/budget.go
@@ -56,8 +56,8 @@
 	return b.Granted - b.held
 }
 
-// HeldByAll returns the sum of Held over all holders.
-func (b *Budget) HeldByAll() uint64 { return b.held }
+// TotalHeld returns the sum of Held over all holders.
+func (b *Budget) TotalHeld() uint64 { return b.held }
 
 // Spent returns the sum of the tokens that holders have reported as spent.
 func (b *Budget) Spent() uint64 {
@@ -68,8 +68,8 @@
 	return spent
 }
 
-// Of returns a holder's allotment, or nil if it has none.
-func (b *Budget) Of(holder string) *statev1.Allotment {
+// AllotmentOf returns a holder's allotment, or nil if it has none.
+func (b *Budget) AllotmentOf(holder string) *statev1.Allotment {
 	if at, found := b.find(holder); found {
 		return b.Allotments[at]
 	}
@@ -132,17 +132,17 @@
 	return "ledger " + e.Holder + " is not in force: register it, or start the box with an empty data folder"
 }
 
-// SyncAnswer is the result of applying a Sync.
-type SyncAnswer struct {
+// SyncResult is the result of applying a Sync.
+type SyncResult struct {
 	// Budgets holds the names of the reported budgets.
 	Budgets []string
 	// Err is an ErrHolderLost, or nil.
 	Err error
 }
 
-func (s *State) applySync(m *statev1.Sync) SyncAnswer {
-	if !s.InForce(m.GetHolder()) {
-		return SyncAnswer{Err: ErrHolderLost{Holder: m.GetHolder()}}
+func (s *State) applySync(m *statev1.Sync) SyncResult {
+	if !s.IsInForce(m.GetHolder()) {
+		return SyncResult{Err: ErrHolderLost{Holder: m.GetHolder()}}
 	}
 	var names []string
 	for _, r := range m.GetReports() {
@@ -158,7 +158,7 @@
 	for _, u := range m.GetUsages() {
 		s.putUsage(m.GetHolder(), u)
 	}
-	return SyncAnswer{Budgets: names}
+	return SyncResult{Budgets: names}
 }
 
 // grant allots tokens to a holder. One other than the asker is recorded in Untold
@@ -169,7 +169,7 @@
 	if holder == "" {
 		holder = asker
 	}
-	if b == nil || !s.InForce(holder) {
+	if b == nil || !s.IsInForce(holder) {
 		return
 	}
 	b.grant(holder, g.GetTokens())
@@ -212,8 +212,8 @@
 	s.Usages[u.GetGroup()] = rows
 }
 
-// InForce reports whether a ledger is the registered one of its box.
-func (s *State) InForce(holder string) bool {
+// IsInForce reports whether a ledger is the registered one of its box.
+func (s *State) IsInForce(holder string) bool {
 	for _, k := range s.Keepers {
 		if k.GetHolder() == holder {
 			return true
@@ -222,9 +222,9 @@
 	return false
 }
 
-// RegisterAnswer is the result of applying a RegisterKeeper. Err is an
+// RegisterResult is the result of applying a RegisterKeeper. Err is an
 // ErrHolderLost if a later ledger of the box has replaced this one.
-type RegisterAnswer struct {
+type RegisterResult struct {
 	Holder string
 	Err    error
 }
@@ -232,12 +232,12 @@
 // Holder returns the name of a keeper's ledger.
 func Holder(box, incarnation string) string { return box + "@" + incarnation }
 
-func (s *State) applyRegisterKeeper(r *statev1.RegisterKeeper) RegisterAnswer {
+func (s *State) applyRegisterKeeper(r *statev1.RegisterKeeper) RegisterResult {
 	holder := Holder(r.GetBox(), r.GetIncarnation())
 	old := s.Keepers[r.GetBox()]
 	for _, lost := range old.GetLost() {
 		if lost == holder {
-			return RegisterAnswer{Err: ErrHolderLost{Holder: holder}}
+			return RegisterResult{Err: ErrHolderLost{Holder: holder}}
 		}
 	}
 	next := &statev1.KeeperMember{Box: r.GetBox(), DataCentre: r.GetDataCentre(), Address: r.GetAddress(), Holder: holder, Joined: r.GetTime()}
@@ -256,5 +256,5 @@
 	if old == nil || old.GetHolder() != holder || old.GetAddress() != r.GetAddress() || old.GetDataCentre() != r.GetDataCentre() {
 		s.change(&statev1.Change{Row: &statev1.Change_Keeper{Keeper: next}})
 	}
-	return RegisterAnswer{Holder: holder}
+	return RegisterResult{Holder: holder}
 }
--- a/models/state/command.go
+++ b/models/state/command.go
@@ -262,7 +262,7 @@
 }
 
 func (s *State) putRollout(r *statev1.Rollout) (string, *refused) {
-	if err := CheckRollout(r); err != nil {
+	if err := ValidateRollout(r); err != nil {
 		return "", refuse(RefusalInvalid, "%s", err.Error())
 	}
 	s.change(&statev1.Change{Row: &statev1.Change_Rollout{Rollout: r}})
--- a/models/state/lease.go
+++ b/models/state/lease.go
@@ -7,16 +7,16 @@
 	statev1 "havenwinch.dev/havenwinch/gen/havenwinch/state/v1"
 )
 
-// LeaseAnswer is the result of applying a LeaseSync. Allotted holds the holder's
+// LeaseResult is the result of applying a LeaseSync. Allotted holds the holder's
 // cumulative allotments in the order of the changes.
-type LeaseAnswer struct {
+type LeaseResult struct {
 	Allotted []uint64
 }
 
 // applyLeaseSync applies a holder's report and grants the requested tokens as far
 // as they are unallotted.
-func (r *Routing) applyLeaseSync(m *statev1.LeaseSync) LeaseAnswer {
-	answer := LeaseAnswer{Allotted: make([]uint64, len(m.GetChanges()))}
+func (r *Routing) applyLeaseSync(m *statev1.LeaseSync) LeaseResult {
+	answer := LeaseResult{Allotted: make([]uint64, len(m.GetChanges()))}
 	for i, c := range m.GetChanges() {
 		b := r.Prepaid[c.GetOrganisation()]
 		if b == nil {
@@ -24,7 +24,7 @@
 		}
 		b.applyLeaseChange(m.GetHolder(), c)
 		b.grant(m.GetHolder(), c.GetGrant())
-		row := b.Of(m.GetHolder())
+		row := b.AllotmentOf(m.GetHolder())
 		answer.Allotted[i] = row.GetAllotted()
 		if row != nil {
 			b.replace(m.GetHolder()).Basis = max(c.GetBasis(), FreeAtReport(row))
@@ -53,7 +53,7 @@
 // applyLeaseChange applies a holder's reported counters. Values of returned and
 // spent lower than the known ones come from an older report and are ignored.
 func (b *Budget) applyLeaseChange(holder string, c *statev1.LeaseChange) {
-	if b.Of(holder) == nil {
+	if b.AllotmentOf(holder) == nil {
 		return
 	}
 	a := b.replace(holder)
@@ -74,7 +74,7 @@
 	delete(r.Holders, m.GetHolder())
 	for _, c := range m.GetChanges() {
 		b := r.Prepaid[c.GetOrganisation()]
-		if b == nil || b.Of(m.GetHolder()) == nil {
+		if b == nil || b.AllotmentOf(m.GetHolder()) == nil {
 			continue
 		}
 		a := b.replace(m.GetHolder())
--- a/models/state/rollout.go
+++ b/models/state/rollout.go
@@ -30,8 +30,8 @@
 	Meaning            string
 }
 
-// Rollouts holds all settings that can be rolled out, by name.
-var Rollouts = map[string]Range{
+// RolloutRanges holds all settings that can be rolled out, by name.
+var RolloutRanges = map[string]Range{
 	RolloutTargetSlots:      {Low: 1, High: 4096, Default: 16, Meaning: "requests in progress at one model engine from one box"},
 	RolloutInteractiveSlots: {Low: 0, High: 4096, Default: 2, Meaning: "of these, kept free for interactive requests"},
 	RolloutQueueRequests:    {Low: 1, High: 1_000_000, Default: 20_000, Meaning: "requests that may wait at one box"},
@@ -41,10 +41,10 @@
 	RolloutMaxTokens:        {Low: 1, High: 1_000_000, Default: 32_768, Meaning: "highest limit of generated tokens in one request"},
 }
 
-// CheckRollout returns an error if a rollout names an unknown setting or its value
+// ValidateRollout returns an error if a rollout names an unknown setting or its value
 // is out of range.
-func CheckRollout(r *statev1.Rollout) error {
-	limits, ok := Rollouts[r.GetName()]
+func ValidateRollout(r *statev1.Rollout) error {
+	limits, ok := RolloutRanges[r.GetName()]
 	if !ok {
 		return errors.Errorf("there is no value %q to roll out: use one of %s", r.GetName(), strings.Join(rolloutNames(), ", "))
 	}
@@ -56,20 +56,20 @@
 }
 
 func rolloutNames() []string {
-	names := make([]string, 0, len(Rollouts))
-	for name := range Rollouts {
+	names := make([]string, 0, len(RolloutRanges))
+	for name := range RolloutRanges {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	return names
 }
 
-// Value returns the current value of a setting: the rolled-out one or its default.
-func (s *State) Value(name string) int64 {
+// RolloutValue returns the current value of a setting: the rolled-out one or its default.
+func (s *State) RolloutValue(name string) int64 {
 	if r := s.Rollouts[name]; r != nil {
 		if n, err := strconv.ParseInt(r.GetValue(), 10, 64); err == nil {
 			return n
 		}
 	}
-	return Rollouts[name].Default
+	return RolloutRanges[name].Default
 }
--- a/models/state/routing.go
+++ b/models/state/routing.go
@@ -155,9 +155,9 @@
 	}
 	slices.SortFunc(s.Registered, compareRevisions)
 	s.Rivals = slices.Clone(r.rivals)
-	s.Holders = Sorted(r.Holders)
+	s.Holders = SortedByKey(r.Holders)
 	s.Prepaid = nil
-	for _, b := range Sorted(r.Prepaid) {
+	for _, b := range SortedByKey(r.Prepaid) {
 		s.Prepaid = append(s.Prepaid, b.row())
 	}
 }
--- a/models/state/routing_test.go
+++ b/models/state/routing_test.go
@@ -101,11 +101,11 @@
 	s := New()
 	s.Apply(table(1, 128000))
 	usable := uint64(127000)
-	got := s.Apply(lease("h1", &statev1.LeaseChange{Grant: 100000})).(LeaseAnswer)
+	got := s.Apply(lease("h1", &statev1.LeaseChange{Grant: 100000})).(LeaseResult)
 	if got.Allotted[0] != 100000 {
 		t.Fatalf("allotted %v", got.Allotted)
 	}
-	got = s.Apply(lease("h2", &statev1.LeaseChange{Grant: 100000})).(LeaseAnswer)
+	got = s.Apply(lease("h2", &statev1.LeaseChange{Grant: 100000})).(LeaseResult)
 	if got.Allotted[0] != usable-100000 {
 		t.Fatalf("allotted %v, more than was unallotted", got.Allotted)
 	}
@@ -115,8 +115,8 @@
 	s.Apply(lease("h1", &statev1.LeaseChange{Returned: 50000, Spent: 9000}))
 	s.Apply(lease("h1", &statev1.LeaseChange{Returned: 1 << 40}))
 	b := s.Routing.Prepaid["o"]
-	if b.Unallotted() != 60000 || b.Of("h1").GetSpent() != 10000 {
-		t.Fatalf("unallotted %d, spent %d", b.Unallotted(), b.Of("h1").GetSpent())
+	if b.Unallotted() != 60000 || b.AllotmentOf("h1").GetSpent() != 10000 {
+		t.Fatalf("unallotted %d, spent %d", b.Unallotted(), b.AllotmentOf("h1").GetSpent())
 	}
 	// A budget that is reduced below the leased amount must grant nothing more.
 	s.Apply(table(2, 50000))
@@ -134,7 +134,7 @@
 	s.Apply(table(1, 128000))
 	s.Apply(lease("h1", &statev1.LeaseChange{Grant: 100000}))
 	s.Apply(lease("h1", &statev1.LeaseChange{Spent: 10000, Reserved: 20000, Basis: 5}))
-	if got := s.Routing.Prepaid["o"].Of("h1").GetBasis(); got != 70000 {
+	if got := s.Routing.Prepaid["o"].AllotmentOf("h1").GetBasis(); got != 70000 {
 		t.Fatalf("basis %d, want what was free", got)
 	}
 	if got := s.Routing.Predecessors("box", "h2"); len(got) != 1 || got[0].GetStamp().GetAt() != 7 {
--- a/models/state/state.go
+++ b/models/state/state.go
@@ -100,7 +100,7 @@
 		s.Routing.applyReclaim(kind.ReclaimLease)
 		return nil
 	case *statev1.Entry_ReportCalls:
-		return s.Quarantine.Take(kind.ReportCalls)
+		return s.Quarantine.Apply(kind.ReportCalls)
 	default:
 		return errors.Errorf("an entry of an unknown kind: the box runs an older version, upgrade it")
 	}
@@ -110,16 +110,16 @@
 func (s *State) change(c *statev1.Change) {
 	s.Revision++
 	c.Revision = s.Revision
-	s.Put(c)
+	s.ApplyChange(c)
 	s.Changes = append(s.Changes, c)
 	if len(s.Changes) > 2*MaxChanges {
 		s.Changes = append([]*statev1.Change(nil), s.Changes[len(s.Changes)-MaxChanges:]...)
 	}
 }
 
-// Put stores the row of a change and sets the revision. Boxes that follow the
+// ApplyChange stores the row of a change and sets the revision. Boxes that follow the
 // configuration apply changes to their copy with it.
-func (s *State) Put(c *statev1.Change) {
+func (s *State) ApplyChange(c *statev1.Change) {
 	switch row := c.GetRow().(type) {
 	case *statev1.Change_Organisation:
 		s.Organisations[row.Organisation.GetName()] = row.Organisation
@@ -212,8 +212,8 @@
 	}
 }
 
-// Sorted returns a table's rows in the order of their keys.
-func Sorted[R any](table map[string]R) []R { return sortedLater(table)() }
+// SortedByKey returns a table's rows in the order of their keys.
+func SortedByKey[R any](table map[string]R) []R { return sortedLater(table)() }
 
 // LoadConfiguration replaces the configuration and its revision. All other state is
 // kept, except that Changes is emptied.
@@ -255,7 +255,7 @@
 	budgets := sortedLaterBy(s.Budgets, (*Budget).row)
 	usages := sortedLaterBy(s.Usages, slices.Clone[[]*statev1.GroupUsage])
 	results := sortedLaterBy(s.Results, slices.Clone[[]*statev1.CommandResult])
-	snapshot := &statev1.Snapshot{Version: Version, LastToken: s.LastToken, Orders: Sorted(s.Orders), Untold: s.untoldRows()}
+	snapshot := &statev1.Snapshot{Version: Version, LastToken: s.LastToken, Orders: SortedByKey(s.Orders), Untold: s.untoldRows()}
 	snapshot.Changes = slices.Clone(s.Changes[max(0, len(s.Changes)-MaxChanges):])
 	s.Routing.snapshot(snapshot)
 	s.Quarantine.Snapshot(snapshot)
--- a/models/state/state_test.go
+++ b/models/state/state_test.go
@@ -184,14 +184,14 @@
 		copied := state.New()
 		early, _ := s.state.ChangesAfter(0)
 		for _, c := range early[:from] {
-			copied.Put(c)
+			copied.ApplyChange(c)
 		}
 		rest, ok := s.state.ChangesAfter(from)
 		if !ok {
 			t.Fatalf("changes after %d are not held", from)
 		}
 		for _, c := range rest {
-			copied.Put(c)
+			copied.ApplyChange(c)
 		}
 		if diff := cmp.Diff(s.state.Configuration(), copied.Configuration(), protocmp.Transform()); diff != "" {
 			t.Errorf("from revision %d: %s", from, diff)
@@ -201,13 +201,13 @@
 
 func TestLostLedgerStaysLost(t *testing.T) {
 	s := newSender(t)
-	register := func(incarnation string) state.RegisterAnswer {
+	register := func(incarnation string) state.RegisterResult {
 		r := &statev1.RegisterKeeper{Box: "k1", Incarnation: incarnation}
-		return s.state.Apply(&statev1.Entry{Kind: &statev1.Entry_RegisterKeeper{RegisterKeeper: r}}).(state.RegisterAnswer)
+		return s.state.Apply(&statev1.Entry{Kind: &statev1.Entry_RegisterKeeper{RegisterKeeper: r}}).(state.RegisterResult)
 	}
 	sync := func(holder string, grant uint64) error {
 		m := &statev1.Sync{Holder: holder, Grants: []*statev1.Grant{{Budget: "north/main", Tokens: grant}}}
-		return s.state.Apply(&statev1.Entry{Kind: &statev1.Entry_Sync{Sync: m}}).(state.SyncAnswer).Err
+		return s.state.Apply(&statev1.Entry{Kind: &statev1.Entry_Sync{Sync: m}}).(state.SyncResult).Err
 	}
 	first := register("one")
 	if err := sync(first.Holder, 600); err != nil {
@@ -220,7 +220,7 @@
 	if err := sync(second.Holder, 600); err != nil {
 		t.Fatal(err)
 	}
-	if got := s.state.Budgets["north/main"].Of(second.Holder).GetAllotted(); got != 400 {
+	if got := s.state.Budgets["north/main"].AllotmentOf(second.Holder).GetAllotted(); got != 400 {
 		t.Errorf("the new ledger got %d tokens, want the 400 that the lost one does not hold", got)
 	}
 }
--- a/models/target/cache.go
+++ b/models/target/cache.go
@@ -72,15 +72,15 @@
 	SequenceGaps uint64
 }
 
-// Next returns the epoch and sequence number of the last applied event. Events
+// LastApplied returns the epoch and sequence number of the last applied event. Events
 // after it are to be requested from the target.
-func (c *Cache) Next() (string, uint64) { return c.epoch, c.sequence }
+func (c *Cache) LastApplied() (string, uint64) { return c.epoch, c.sequence }
 
-// Take applies events that were received at now. A new epoch clears the record,
+// Apply applies events that were received at now. A new epoch clears the record,
 // since it belongs to a new cache. A gap in the sequence is counted and the record
 // is kept: a missed eviction costs a wrong estimate and a recomputation, whereas
 // clearing the record at every gap cost more (docs/MEASUREMENTS.md).
-func (c *Cache) Take(epoch string, events []CacheEvent, now time.Duration) {
+func (c *Cache) Apply(epoch string, events []CacheEvent, now time.Duration) {
 	if epoch != c.epoch {
 		c.reset(epoch, 0)
 	}
--- a/models/target/choose.go
+++ b/models/target/choose.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// Need describes a request for the choice of its target.
-type Need struct {
+// Criteria describes a request for the choice of its target.
+type Criteria struct {
 	Model   string
 	Service string
 	// Blocks are the prompt's cache blocks, Prompt its estimated number of tokens.
-	Blocks []Block
-	Prompt int
+	Blocks       []Block
+	PromptTokens int
 	// Interactive requests may use the slots that are reserved for them.
 	Interactive bool
 	// Exclude names the targets that have already failed this request.
@@ -38,7 +38,7 @@
 type Reason string
 
 const (
-	Eligible              Reason = "eligible"
+	ReasonEligible        Reason = "eligible"
 	ReasonLeaving         Reason = "leaving"
 	ReasonDrained         Reason = "drained"
 	ReasonEjected         Reason = "ejected"
@@ -80,7 +80,7 @@
 
 // Choose picks the target for a request. Targets in other data centres are used
 // only if none in the box's own is eligible or worth waiting for.
-func Choose(p Policy, candidates []*Target, need Need, limits Limits, now time.Duration, rng *rand.Rand) Decision {
+func Choose(p Policy, candidates []*Target, need Criteria, limits Limits, now time.Duration, rng *rand.Rand) Decision {
 	d := choose(p, candidates, need, limits, now, rng, true)
 	if d.Target != nil || d.Waitable {
 		return d
@@ -88,7 +88,7 @@
 	return choose(p, candidates, need, limits, now, rng, false)
 }
 
-func choose(p Policy, candidates []*Target, need Need, limits Limits, now time.Duration, rng *rand.Rand, localOnly bool) Decision {
+func choose(p Policy, candidates []*Target, need Criteria, limits Limits, now time.Duration, rng *rand.Rand, localOnly bool) Decision {
 	var d Decision
 	var eligible []*Target
 	var scores []Score
@@ -101,7 +101,7 @@
 		if s.Reason == ReasonFull {
 			d.Waitable = true
 		}
-		if s.Reason == Eligible {
+		if s.Reason == ReasonEligible {
 			eligible = append(eligible, t)
 			scores = append(scores, s)
 		}
@@ -112,24 +112,24 @@
 	return d
 }
 
-func score(t *Target, need Need, limits Limits, now time.Duration) Score {
+func score(t *Target, need Criteria, limits Limits, now time.Duration) Score {
 	load := t.Load()
 	return Score{
 		Target:    t.Name,
 		Reason:    reason(t, need, limits, load, now),
-		Recompute: max(0, need.Prompt-t.Cache.Reusable(need.Blocks, now)),
+		Recompute: max(0, need.PromptTokens-t.Cache.Reusable(need.Blocks, now)),
 		Queued:    t.ReportedPromptTokens,
-		Decode:    load * limits.DecodeWeight * need.Prompt / 16,
+		Decode:    load * limits.DecodeWeight * need.PromptTokens / 16,
 	}
 }
 
-func reason(t *Target, need Need, limits Limits, load int, now time.Duration) Reason {
+func reason(t *Target, need Criteria, limits Limits, load int, now time.Duration) Reason {
 	slots := limits.Slots
 	if !need.Interactive {
 		slots = max(1, slots-limits.InteractiveSlots)
 	}
 	switch {
-	case t.Listed == Leaving:
+	case t.ListedState == Leaving:
 		return ReasonLeaving
 	case t.Drained:
 		return ReasonDrained
@@ -140,7 +140,7 @@
 	case t.InFlight >= slots || load >= 2*slots:
 		return ReasonFull
 	default:
-		return Eligible
+		return ReasonEligible
 	}
 }
 
--- a/models/target/target.go
+++ b/models/target/target.go
@@ -37,8 +37,8 @@
 	Service    string
 	Models     []string
 	DataCentre string
-	// Listed is the state in the platform's list. Once Leaving, it stays so.
-	Listed State
+	// ListedState is the state in the platform's list. Once Leaving, it stays so.
+	ListedState State
 	// Drained is set while an operator has the target drained.
 	Drained bool
 	// LastListed is when the platform's list last contained the target.
@@ -47,10 +47,10 @@
 	// prompt tokens.
 	InFlight             int
 	InFlightPromptTokens int
-	// Reported and ReportedPrompt are the requests and queued prompt tokens in the
+	// ReportedRequests and ReportedPrompt are the requests and queued prompt tokens in the
 	// target's last load report, which arrived at ReportedAt. OwnThen is how many of
 	// the requests were this box's own.
-	Reported             int
+	ReportedRequests     int
 	ReportedPromptTokens int
 	ReportedAt           time.Duration
 	OwnReported          int
@@ -74,8 +74,8 @@
 	maxPause   = 30 * time.Second
 )
 
-// Fail records a failure that is the target's own.
-func (h *Health) Fail(now time.Duration) {
+// RecordFailure records a failure that is the target's own.
+func (h *Health) RecordFailure(now time.Duration) {
 	h.failures++
 	h.probing = false
 	if h.failures < ejectAfter {
@@ -85,8 +85,8 @@
 	h.pausedUntil = now + h.pause
 }
 
-// Succeed records a valid answer, which ends an ejection.
-func (h *Health) Succeed() { *h = Health{} }
+// RecordSuccess records a valid answer, which ends an ejection.
+func (h *Health) RecordSuccess() { *h = Health{} }
 
 // Ejected reports whether the target is paused or has a probe in progress.
 func (h *Health) Ejected(now time.Duration) bool {
@@ -99,7 +99,7 @@
 // StateAt returns the state of the target at the given time.
 func (t *Target) StateAt(now time.Duration) State {
 	switch {
-	case t.Listed == Leaving:
+	case t.ListedState == Leaving:
 		return Leaving
 	case t.Drained:
 		return Drained
@@ -112,25 +112,25 @@
 
 // Load returns the estimated number of requests at the target: those of other boxes
 // as of the last report, and this box's own as of now.
-func (t *Target) Load() int { return max(0, t.Reported-t.OwnReported) + t.InFlight }
+func (t *Target) Load() int { return max(0, t.ReportedRequests-t.OwnReported) + t.InFlight }
 
-// Report records a load report of the target: its number of requests and the prompt
+// RecordLoad records a load report of the target: its number of requests and the prompt
 // tokens that are queued there.
-func (t *Target) Report(running, prompt int, now time.Duration) {
-	t.Reported, t.ReportedPromptTokens, t.ReportedAt = running, prompt, now
+func (t *Target) RecordLoad(running, prompt int, now time.Duration) {
+	t.ReportedRequests, t.ReportedPromptTokens, t.ReportedAt = running, prompt, now
 	t.OwnReported = min(t.InFlight, running)
 }
 
-// Begin records that this box sends a request with the given number of prompt tokens
+// RequestStarted records that this box sends a request with the given number of prompt tokens
 // to the target.
-func (t *Target) Begin(prompt int) {
+func (t *Target) RequestStarted(prompt int) {
 	t.InFlight++
 	t.InFlightPromptTokens += prompt
 	t.Health.startProbe()
 }
 
-// End records that a request of this box has ended.
-func (t *Target) End(prompt int) {
+// RequestEnded records that a request of this box has ended.
+func (t *Target) RequestEnded(prompt int) {
 	t.InFlight--
 	t.InFlightPromptTokens -= prompt
 }
@@ -158,8 +158,8 @@
 		return
 	}
 	old.LastListed = now
-	if row.Listed == Leaving {
-		old.Listed = Leaving
+	if row.ListedState == Leaving {
+		old.ListedState = Leaving
 	}
 	if !equalStrings(old.Models, row.Models) || old.Service != row.Service {
 		old.Models, old.Service = row.Models, row.Service
@@ -167,16 +167,16 @@
 	}
 }
 
-// Forget removes a target that the platform no longer lists. One that still has
+// Remove removes a target that the platform no longer lists. One that still has
 // requests of this box is marked as leaving instead.
-func (t *Table) Forget(name string) {
+func (t *Table) Remove(name string) {
 	if old := t.Targets[name]; old != nil && old.InFlight == 0 {
 		delete(t.Targets, name)
 		t.rebuildIndexes()
 		return
 	}
 	if old := t.Targets[name]; old != nil {
-		old.Listed = Leaving
+		old.ListedState = Leaving
 	}
 }
 
--- a/models/target/target_test.go
+++ b/models/target/target_test.go
@@ -14,7 +14,7 @@
 var limits = Limits{Slots: 4, InteractiveSlots: 1, DecodeWeight: 3}
 
 func engine(name, dc string) *Target {
-	return &Target{Name: name, Address: name, Kind: Engine, Models: []string{"m"}, DataCentre: dc, Listed: Live}
+	return &Target{Name: name, Address: name, Kind: Engine, Models: []string{"m"}, DataCentre: dc, ListedState: Live}
 }
 
 // TestEligibility checks which of two candidates is chosen, depending on the state
@@ -27,23 +27,23 @@
 		reason      Reason
 		waitable    bool
 	}{
-		"healthy":                         {func(*Target) {}, false, "first", Eligible, false},
-		"leaving":                         {func(f *Target) { f.Listed = Leaving }, false, "second", ReasonLeaving, false},
+		"healthy":                         {func(*Target) {}, false, "first", ReasonEligible, false},
+		"leaving":                         {func(f *Target) { f.ListedState = Leaving }, false, "second", ReasonLeaving, false},
 		"drained":                         {func(f *Target) { f.Drained = true }, false, "second", ReasonDrained, false},
-		"two failures":                    {func(f *Target) { fail(f, 2) }, false, "first", Eligible, false},
+		"two failures":                    {func(f *Target) { fail(f, 2) }, false, "first", ReasonEligible, false},
 		"three failures":                  {func(f *Target) { fail(f, 3) }, false, "second", ReasonEjected, false},
 		"full":                            {func(f *Target) { f.InFlight = 4 }, true, "", ReasonFull, true},
 		"only interactive slots free":     {func(f *Target) { f.InFlight = 3 }, false, "", ReasonFull, true},
-		"interactive slot free":           {func(f *Target) { f.InFlight = 3 }, true, "first", Eligible, false},
-		"full with requests of others":    {func(f *Target) { f.Report(9, 0, 0) }, true, "", ReasonFull, true},
-		"report counts own ended ones":    {func(f *Target) { f.InFlight = 3; f.Report(3, 0, 0); f.InFlight = 0 }, false, "first", Eligible, false},
-		"full with others' and later own": {func(f *Target) { f.Report(5, 0, 0); f.InFlight = 3 }, true, "", ReasonFull, true},
+		"interactive slot free":           {func(f *Target) { f.InFlight = 3 }, true, "first", ReasonEligible, false},
+		"full with requests of others":    {func(f *Target) { f.RecordLoad(9, 0, 0) }, true, "", ReasonFull, true},
+		"report counts own ended ones":    {func(f *Target) { f.InFlight = 3; f.RecordLoad(3, 0, 0); f.InFlight = 0 }, false, "first", ReasonEligible, false},
+		"full with others' and later own": {func(f *Target) { f.RecordLoad(5, 0, 0); f.InFlight = 3 }, true, "", ReasonFull, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			first, second := engine("first", "here"), engine("second", "there")
 			test.prepare(first)
-			d := Choose(CacheLoad{}, []*Target{first, second}, Need{Model: "m", Prompt: 100, Interactive: test.interactive, DataCentre: "here"}, limits, time.Second, rand.New(rand.NewSource(1)))
+			d := Choose(CacheLoad{}, []*Target{first, second}, Criteria{Model: "m", PromptTokens: 100, Interactive: test.interactive, DataCentre: "here"}, limits, time.Second, rand.New(rand.NewSource(1)))
 			got := ""
 			if d.Target != nil {
 				got = d.Target.Name
@@ -57,7 +57,7 @@
 
 func fail(t *Target, n int) {
 	for range n {
-		t.Health.Fail(time.Second)
+		t.Health.RecordFailure(time.Second)
 	}
 }
 
@@ -68,15 +68,15 @@
 	if e.Health.Ejected(now) {
 		t.Fatal("ejected target is not probed after the pause")
 	}
-	e.Begin(1)
+	e.RequestStarted(1)
 	if !e.Health.Ejected(now) {
 		t.Fatal("target is eligible for a second request while the probe runs")
 	}
-	e.Health.Fail(now)
+	e.Health.RecordFailure(now)
 	if !e.Health.Ejected(now+minPause) || e.Health.Ejected(now+2*minPause) {
 		t.Error("second pause is not twice the first")
 	}
-	e.Health.Succeed()
+	e.Health.RecordSuccess()
 	if e.Health.Ejected(now) {
 		t.Error("target is still ejected after a valid answer")
 	}
@@ -86,23 +86,23 @@
 	table := NewTable()
 	put := func(s State) {
 		row := engine("e", "here")
-		row.Listed = s
+		row.ListedState = s
 		table.Put(row, 0)
 	}
 	put(Live)
 	put(Leaving)
 	put(Live)
-	if table.Targets["e"].Listed != Leaving {
+	if table.Targets["e"].ListedState != Leaving {
 		t.Error("leaving target is live again after an older list")
 	}
-	table.Forget("e")
+	table.Remove("e")
 	put(Live)
-	if table.Targets["e"].Listed != Live {
+	if table.Targets["e"].ListedState != Live {
 		t.Error("removed target is not live after it was listed again")
 	}
 	table.Targets["e"].InFlight = 1
-	table.Forget("e")
-	if table.Targets["e"] == nil || table.Targets["e"].Listed != Leaving {
+	table.Remove("e")
+	if table.Targets["e"] == nil || table.Targets["e"].ListedState != Leaving {
 		t.Error("target with a request in flight was removed or is not leaving")
 	}
 }
@@ -124,20 +124,20 @@
 		want  int
 	}{
 		"no events":            {func(*Cache) {}, 0, 0},
-		"all blocks":           {func(c *Cache) { c.Take("e", insert(1, stored...), 0) }, 0, 4},
-		"another organisation": {func(c *Cache) { c.Take("e", insert(1, Blocks("scope-b", "m", prompt)...), 0) }, 0, 0},
-		"another model":        {func(c *Cache) { c.Take("e", insert(1, Blocks("scope-a", "n", prompt)...), 0) }, 0, 0},
-		"missing block":        {func(c *Cache) { c.Take("e", insert(1, stored[0], stored[2], stored[3]), 0) }, 0, 1},
+		"all blocks":           {func(c *Cache) { c.Apply("e", insert(1, stored...), 0) }, 0, 4},
+		"another organisation": {func(c *Cache) { c.Apply("e", insert(1, Blocks("scope-b", "m", prompt)...), 0) }, 0, 0},
+		"another model":        {func(c *Cache) { c.Apply("e", insert(1, Blocks("scope-a", "n", prompt)...), 0) }, 0, 0},
+		"missing block":        {func(c *Cache) { c.Apply("e", insert(1, stored[0], stored[2], stored[3]), 0) }, 0, 1},
 		"evicted": {func(c *Cache) {
-			c.Take("e", append(insert(1, stored...), CacheEvent{Sequence: 5, Evicted: true, Block: stored[1]}), 0)
+			c.Apply("e", append(insert(1, stored...), CacheEvent{Sequence: 5, Evicted: true, Block: stored[1]}), 0)
 		}, 0, 1},
 		"older sequence": {func(c *Cache) {
-			c.Take("e", insert(1, stored[0], stored[1]), 0)
-			c.Take("e", []CacheEvent{{Sequence: 1, Evicted: true, Block: stored[0]}}, 0)
+			c.Apply("e", insert(1, stored[0], stored[1]), 0)
+			c.Apply("e", []CacheEvent{{Sequence: 1, Evicted: true, Block: stored[0]}}, 0)
 		}, 0, 2},
-		"another epoch": {func(c *Cache) { c.Take("e", insert(1, stored...), 0); c.Take("f", insert(1, stored[0]), 0) }, 0, 1},
-		"outdated":      {func(c *Cache) { c.Take("e", insert(1, stored...), 0) }, maxCacheAge + 1, 0},
-		"sequence gap":  {func(c *Cache) { c.Take("e", insert(1, stored[0]), 0); c.Take("e", insert(9, stored[1]), 0) }, 0, 2},
+		"another epoch": {func(c *Cache) { c.Apply("e", insert(1, stored...), 0); c.Apply("f", insert(1, stored[0]), 0) }, 0, 1},
+		"outdated":      {func(c *Cache) { c.Apply("e", insert(1, stored...), 0) }, maxCacheAge + 1, 0},
+		"sequence gap":  {func(c *Cache) { c.Apply("e", insert(1, stored[0]), 0); c.Apply("e", insert(9, stored[1]), 0) }, 0, 2},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -157,7 +157,7 @@
 			for i := range n {
 				list = append(list, engine(fmt.Sprint("e", i), "here"))
 			}
-			need := Need{Model: "m", Prompt: 1000, Blocks: Blocks("s", "m", strings.Repeat("x", 4000)), DataCentre: "here"}
+			need := Criteria{Model: "m", PromptTokens: 1000, Blocks: Blocks("s", "m", strings.Repeat("x", 4000)), DataCentre: "here"}
 			rng := rand.New(rand.NewSource(1))
 			b.ReportAllocs()
 			for b.Loop() {
--- a/routers/between/gateway.go
+++ b/routers/between/gateway.go
@@ -57,7 +57,7 @@
 }
 
 func (g *gatewayCalls) ReadRouting(ctx context.Context, _ *connect.Request[betweenv1.ReadRoutingRequest]) (*connect.Response[betweenv1.ReadRoutingResponse], error) {
-	answer, err := g.opts.Gateway.Read()
+	answer, err := g.opts.Gateway.ReadRouting()
 	return reply(answer, err, wireUnknown)
 }
 
--- a/routers/between/reports_test.go
+++ b/routers/between/reports_test.go
@@ -46,7 +46,7 @@
 	}
 	for name, report := range cases {
 		t.Run(name, func(t *testing.T) {
-			content := quarantine.Of("o", "POST", name, nil)
+			content := quarantine.DigestOf("o", "POST", name, nil)
 			r := &statev1.ReportCalls{Ended: []*statev1.EndedUnder{{Content: content[:], Target: "t1", Weight: quarantine.EarlyEnd}}}
 			if err := report(t.Context(), r); err != nil {
 				t.Fatal(err)
--- a/routers/caller/chat.go
+++ b/routers/caller/chat.go
@@ -67,8 +67,8 @@
 	begun bool
 }
 
-// Alive implements dispatch.Sink with a comment, which clients skip.
-func (k *streamSink) Alive(note string) error {
+// KeepAlive implements dispatch.Sink with a comment, which clients skip.
+func (k *streamSink) KeepAlive(note string) error {
 	fmt.Fprintf(k.w, ": %s\n\n", note)
 	return k.w.Flush()
 }
@@ -162,7 +162,7 @@
 }
 
 func (c *Caller) whole(s *session, a *dispatch.Admission, r *dispatch.Request) {
-	sink := &dispatch.WholeSink{Gone: goneCheck(s.ctx.Conn())}
+	sink := &dispatch.BufferedSink{Disconnected: goneCheck(s.ctx.Conn())}
 	result, refusal := c.opts.Dispatcher.Serve(c.opts.Work, a, sink)
 	if refusal != nil {
 		c.refuse(s, refusal)
--- a/routers/gateway/server_test.go
+++ b/routers/gateway/server_test.go
@@ -105,7 +105,7 @@
 		message.Targets = append(message.Targets, &statev1.RegisteredTarget{Id: fmt.Sprintf("t%d", i+1), Service: "s", Address: address, DataCentre: []string{"", "far"}[min(i, 1)], State: statev1.RegisteredTarget_STATE_READY, Revision: uint64(i + 1)})
 	}
 	copyOf := store.NewStore(clock.System{})
-	copyOf.Take(message)
+	copyOf.Apply(message)
 	f := forward.New(forward.Options{Dialect: dialect, Store: copyOf, Leases: noLeases{}, Quarantine: quarantine.New(quarantine.Options{List: &copyOf.Quarantine, Clock: clock.System{}, Logger: logging.Discard()}), Clock: clock.System{}, Logger: logging.Discard(), Counter: noCounter{}, RetryStock: 10})
 	f.Refresh()
 	work, cancel := context.WithCancel(context.Background())
--- a/services/configuration/feed.go
+++ b/services/configuration/feed.go
@@ -56,8 +56,8 @@
 // entries are applied to it, so that changes in the feed are never reverted.
 type MachineSource struct {
 	Machine *control.Machine
-	// Confirmed returns how long ago this box was last in sync with the control group.
-	Confirmed func() time.Duration
+	// SyncAge returns how long ago this box was last in sync with the control group.
+	SyncAge func() time.Duration
 }
 
 // Since implements Source.
@@ -65,10 +65,10 @@
 	var resp *betweenv1.WatchResponse
 	m.Machine.Read(func(st *state.State) {
 		resp = changesSince(st, has.Revision)
-		resp.Quarantine, resp.QuarantineRevision = st.Quarantine.After(has.Quarantine)
+		resp.Quarantine, resp.QuarantineRevision = st.Quarantine.ListedSince(has.Quarantine)
 		resp.QuarantineReports = st.Quarantine.Reports()
 	})
-	resp.ConfirmedAgo = m.Confirmed().Milliseconds()
+	resp.ConfirmedAgo = m.SyncAge().Milliseconds()
 	return resp
 }
 
@@ -172,7 +172,7 @@
 		watchdog.Reset(silenceTimeout)
 		resp := stream.Msg()
 		before := f.Store.Revision()
-		current, err := f.Store.Take(resp)
+		current, err := f.Store.Apply(resp)
 		if err != nil {
 			return err
 		}
--- a/services/configuration/store.go
+++ b/services/configuration/store.go
@@ -93,7 +93,7 @@
 func (s *Store) Value(name string) int {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return int(s.state.Value(name))
+	return int(s.state.RolloutValue(name))
 }
 
 // Keepers returns all keepers, sorted by name.
@@ -130,7 +130,7 @@
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	resp := changesSince(s.state, has.Revision)
-	resp.Quarantine, resp.QuarantineRevision = s.Quarantine.After(has.Quarantine)
+	resp.Quarantine, resp.QuarantineRevision = s.Quarantine.RowsSince(has.Quarantine)
 	resp.QuarantineReports = s.Quarantine.Reports()
 	resp.ConfirmedAgo = (s.clock.Boot() - s.confirmedAt).Milliseconds()
 	if !s.everConfirmed {
@@ -155,10 +155,10 @@
 	return resp
 }
 
-// Take applies a message of the feed and saves the copy if its revision has changed. It
+// Apply applies a message of the feed and saves the copy if its revision has changed. It
 // returns false if the sender's revision is older than this copy's, which then stays as
 // it is. An error means that the copy could not be saved; in memory it is updated then.
-func (s *Store) Take(r *betweenv1.WatchResponse) (bool, error) {
+func (s *Store) Apply(r *betweenv1.WatchResponse) (bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if r.GetRevision() < s.state.Revision {
@@ -172,12 +172,12 @@
 		if c.GetRevision() != s.state.Revision+1 {
 			continue
 		}
-		s.state.Put(c)
+		s.state.ApplyChange(c)
 		s.state.Changes = append(s.state.Changes, c)
 	}
 	s.trimChanges()
 	s.recordConfirmation(r)
-	newCalls := s.Quarantine.Take(r.GetQuarantine(), r.GetQuarantineRevision(), r.GetQuarantineReports())
+	newCalls := s.Quarantine.Update(r.GetQuarantine(), r.GetQuarantineRevision(), r.GetQuarantineReports())
 	if s.state.Revision == before && !newCalls {
 		return true, nil
 	}
@@ -210,7 +210,7 @@
 	}
 }
 
-func (s *Store) sortKeepers() { s.keepers = state.Sorted(s.state.Keepers) }
+func (s *Store) sortKeepers() { s.keepers = state.SortedByKey(s.state.Keepers) }
 
 func (s *Store) save() error {
 	if s.disk == nil {
--- a/services/control/control.go
+++ b/services/control/control.go
@@ -42,15 +42,15 @@
 	ReadBarrier() error
 }
 
-// Holders sends recalls to keepers.
-type Holders interface {
+// Recaller sends recalls to keepers.
+type Recaller interface {
 	Recall(ctx context.Context, address string, r *betweenv1.RecallRequest) (*betweenv1.RecallResponse, error)
 }
 
 type Options struct {
 	Log      Log
 	Machine  *Machine
-	Holders  Holders
+	Keepers  Recaller
 	Policy   allot.Policy
 	Clock    clock.Clock
 	Recorder *timeline.Recorder
@@ -121,7 +121,7 @@
 	if err != nil {
 		return nil, err
 	}
-	registered, ok := answer.(state.RegisterAnswer)
+	registered, ok := answer.(state.RegisterResult)
 	if !ok {
 		return nil, errors.Errorf("the state answered a registration with %T", answer)
 	}
@@ -189,7 +189,7 @@
 	if err != nil {
 		return err
 	}
-	synced, ok := answer.(state.SyncAnswer)
+	synced, ok := answer.(state.SyncResult)
 	if !ok {
 		return errors.Errorf("the state answered a report with %T", answer)
 	}
@@ -200,7 +200,7 @@
 // and the recalls to make for what is still missing.
 func (s *Service) plan(holder string, reports []*statev1.BudgetReport) (grants []*statev1.Grant, recalls []recall) {
 	s.opts.Machine.Read(func(st *state.State) {
-		keepers := state.Sorted(st.Keepers)
+		keepers := state.SortedByKey(st.Keepers)
 		for _, r := range reports {
 			b := st.Budgets[r.GetBudget()]
 			if b == nil {
@@ -233,7 +233,7 @@
 	at := -1
 	var holders []allot.Holder
 	for _, k := range keepers {
-		a := b.Of(k.GetHolder())
+		a := b.AllotmentOf(k.GetHolder())
 		h := allot.Holder{Name: k.GetHolder(), Rate: a.GetRate(), Need: a.GetNeed()}
 		if a != nil {
 			h.Free = free(state.Held(a), a.GetSpent(), a.GetReserved())
@@ -288,7 +288,7 @@
 			}
 			resp.Rows = append(resp.Rows, &betweenv1.AllottedRow{
 				Budget:     b.Name,
-				Allotted:   b.Of(holder).GetAllotted(),
+				Allotted:   b.AllotmentOf(holder).GetAllotted(),
 				Unallotted: b.Unallotted(),
 				Gone:       unrecoverable(st, b),
 				Granted:    b.Granted,
@@ -303,7 +303,7 @@
 func unrecoverable(st *state.State, b *state.Budget) uint64 {
 	sum := uint64(0)
 	for _, a := range b.Allotments {
-		if st.InForce(a.GetHolder()) {
+		if st.IsInForce(a.GetHolder()) {
 			sum += a.GetSpent()
 		} else {
 			sum += state.Held(a)
--- a/services/control/directory_test.go
+++ b/services/control/directory_test.go
@@ -64,7 +64,7 @@
 	f.mu.Lock()
 	d := f.entryBoxes.current(f.clock.Boot())
 	for _, b := range d.Boxes {
-		if d.Holds(b.Name, "dc", "o") {
+		if d.IsHolder(b.Name, "dc", "o") {
 			holder = b.Name
 		} else {
 			guest = b.Name
--- a/services/control/gateway.go
+++ b/services/control/gateway.go
@@ -34,8 +34,8 @@
 	Boot string
 	// Members returns the addresses of the control group's members.
 	Members func() []string
-	// Clocks reads the clocks of another control box.
-	Clocks func(ctx context.Context, address string) (*betweenv1.ReadClockResponse, error)
+	// ReadRemoteClock reads the clocks of another control box.
+	ReadRemoteClock func(ctx context.Context, address string) (*betweenv1.ReadClockResponse, error)
 
 	mu         sync.Mutex
 	holders    map[string]*holderState
@@ -84,8 +84,8 @@
 	return &Quarantine{Log: g.Log, Machine: g.Machine, Clock: g.Clock, Logger: g.Logger}
 }
 
-// Read returns the newest routing table that was committed before the call.
-func (g *Gateway) Read() (*betweenv1.ReadRoutingResponse, error) {
+// ReadRouting returns the newest routing table that was committed before the call.
+func (g *Gateway) ReadRouting() (*betweenv1.ReadRoutingResponse, error) {
 	if err := g.Log.ReadBarrier(); err != nil {
 		return nil, err
 	}
@@ -137,14 +137,14 @@
 	return resp, nil
 }
 
-func (g *Gateway) propose(ctx context.Context, m *statev1.LeaseSync) (state.LeaseAnswer, error) {
+func (g *Gateway) propose(ctx context.Context, m *statev1.LeaseSync) (state.LeaseResult, error) {
 	answer, err := propose(ctx, g.Log, &statev1.Entry{Kind: &statev1.Entry_LeaseSync{LeaseSync: m}})
 	if err != nil {
-		return state.LeaseAnswer{}, err
+		return state.LeaseResult{}, err
 	}
-	granted, ok := answer.(state.LeaseAnswer)
+	granted, ok := answer.(state.LeaseResult)
 	if !ok {
-		return state.LeaseAnswer{}, errors.Errorf("the state answered a lease with %T: all control boxes must run one version", answer)
+		return state.LeaseResult{}, errors.Errorf("the state answered a lease with %T: all control boxes must run one version", answer)
 	}
 	for i, c := range m.GetChanges() {
 		if c.GetGrant() > 0 {
@@ -162,15 +162,15 @@
 	if b == nil {
 		return grant, nil
 	}
-	row := b.Of(r.GetHolder())
+	row := b.AllotmentOf(r.GetHolder())
 	returned := max(report.GetReturned(), row.GetReturned())
 	available := row.GetAllotted() - min(row.GetAllotted(), returned+report.GetSpent())
 	free, rate, left := g.usageOf(s, b)
 	decision := allot.LeaseDecision{}
 	if !r.GetLeaving() {
 		decision = allot.Lease(
-			allot.LeaseState{Prepaid: b.Granted, Unallotted: b.Unallotted(), Holders: d.Count(b.Name), Free: free, Rate: rate},
-			allot.LeaseDemand{Part: leaseRole(r, d, report, rate, available > report.GetReserved()), Available: available, Reserved: report.GetReserved(), Rate: report.GetRate(), Need: report.GetNeed()},
+			allot.LeaseState{Prepaid: b.Granted, Unallotted: b.Unallotted(), Holders: d.HolderCount(b.Name), Free: free, Rate: rate},
+			allot.LeaseDemand{Role: leaseRole(r, d, report, rate, available > report.GetReserved()), Available: available, Reserved: report.GetReserved(), Rate: report.GetRate(), Need: report.GetNeed()},
 		)
 	}
 	grant.Allotted, grant.Keep, grant.Left, grant.Unallotted = row.GetAllotted(), decision.Keep, left, b.Unallotted()-decision.Grant
@@ -192,7 +192,7 @@
 // that the directory d assigns to the organisation, and one that causes at least
 // 1/heavyDemandDivisor of the organisation's demand; for a box that has a lease half of
 // that is enough, as hysteresis. Without a directory the role is undecided.
-func leaseRole(r *betweenv1.LeaseRequest, d *lease.Directory, report *betweenv1.LeaseReport, rate uint64, hasLease bool) allot.LeasePart {
+func leaseRole(r *betweenv1.LeaseRequest, d *lease.Directory, report *betweenv1.LeaseReport, rate uint64, hasLease bool) allot.LeaseRole {
 	divisor := uint64(heavyDemandDivisor)
 	if hasLease {
 		divisor *= 2
@@ -201,8 +201,8 @@
 	case r.GetAddress() == "":
 		return allot.LeaseHolder
 	case d == nil:
-		return allot.LeaseUndecided
-	case d.Holds(r.GetBox(), r.GetDataCentre(), report.GetOrganisation()):
+		return allot.LeaseRoleUnknown
+	case d.IsHolder(r.GetBox(), r.GetDataCentre(), report.GetOrganisation()):
 		return allot.LeaseHolder
 	case report.GetRate() > 0 && report.GetRate()*divisor >= rate:
 		return allot.LeaseHolder
--- a/services/control/gateway_test.go
+++ b/services/control/gateway_test.go
@@ -61,7 +61,7 @@
 	c := clock.NewFake()
 	f := &gatewayFixture{clock: c, clocks: otherClocks{}}
 	f.Gateway = &Gateway{Log: &directLog{machine: machine}, Machine: machine, Clock: c, Logger: logging.Discard(), Self: "self", Boot: "boot-1",
-		Members: func() []string { return []string{"self", "b", "c"} }, Clocks: f.clocks.read}
+		Members: func() []string { return []string{"self", "b", "c"} }, ReadRemoteClock: f.clocks.read}
 	f.put(t, &statev1.Entry{Kind: &statev1.Entry_PutRouting{PutRouting: &statev1.PutRouting{Table: &statev1.RoutingTable{
 		Version: 1, Source: []byte("doc"), Payers: []*statev1.Payer{{Organisation: "o", Prepaid: 1280000, Limited: true}},
 	}}}})
@@ -91,7 +91,7 @@
 }
 
 func (f *gatewayFixture) row(holder string) (row *statev1.Allotment) {
-	f.Machine.Read(func(s *state.State) { row = proto.CloneOf(s.Routing.Prepaid["o"].Of(holder)) })
+	f.Machine.Read(func(s *state.State) { row = proto.CloneOf(s.Routing.Prepaid["o"].AllotmentOf(holder)) })
 	return row
 }
 
@@ -147,7 +147,7 @@
 			back := f.unallotted() + f.row("box@2").GetAllotted() - before
 			want := uint64(0)
 			if c.elapsed >= 0 {
-				want = free - min(free, lease.MostUsed(basis, c.elapsed))
+				want = free - min(free, lease.MaxUnreportedUse(basis, c.elapsed))
 			}
 			if back != want {
 				t.Fatalf("%d tokens were reclaimed, want %d of %d", back, want, free)
@@ -176,14 +176,14 @@
 func TestReadAndLeaseNeedTheLeader(t *testing.T) {
 	f := newGateway(t)
 	f.Log.(*directLog).isFollower = true
-	if _, err := f.Read(); !raft.IsErrNotLeader(err) {
+	if _, err := f.ReadRouting(); !raft.IsErrNotLeader(err) {
 		t.Fatal(err)
 	}
 	if _, err := f.Lease(context.Background(), &betweenv1.LeaseRequest{Holder: "h"}); !raft.IsErrNotLeader(err) {
 		t.Fatal(err)
 	}
 	f.Log.(*directLog).isFollower = false
-	resp, err := f.Read()
+	resp, err := f.ReadRouting()
 	if err != nil || resp.GetVersion() != 1 || string(resp.GetSource()) != "doc" {
 		t.Fatalf("%v, %v", resp, err)
 	}
--- a/services/control/limits.go
+++ b/services/control/limits.go
@@ -53,7 +53,7 @@
 // put adds a limit that a target announced to a box. It has no effect if the message
 // is invalid or the limit in force stays the same.
 func (l *limits) put(m *betweenv1.TargetLimit, now time.Duration) {
-	said, ok := rate.OfMessage(m, now)
+	said, ok := rate.FromMessage(m, now)
 	if !ok {
 		return
 	}
@@ -65,7 +65,7 @@
 	if row == nil {
 		row = &limitEntry{target: m.GetTarget(), born: m.GetBorn(), service: m.GetService()}
 	}
-	if !row.limit.Take(said) {
+	if !row.limit.Update(said) {
 		return
 	}
 	l.entries[key] = row
@@ -88,7 +88,7 @@
 		}
 		has = c.revision
 		if c.entry.revision == c.revision {
-			changed = append(changed, c.entry.limit.Said.Message(c.entry.target, c.entry.born, c.entry.service, now))
+			changed = append(changed, c.entry.limit.Statement.Message(c.entry.target, c.entry.born, c.entry.service, now))
 		}
 	}
 	return changed, has
--- a/services/control/quarantine.go
+++ b/services/control/quarantine.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		return err
 	}
-	verdicts, ok := answer.([]quarantine.Verdict)
+	verdicts, ok := answer.([]quarantine.Transition)
 	if !ok {
 		return errors.Errorf("the state answered a report of calls with %T: all control boxes must run one version", answer)
 	}
@@ -73,9 +73,9 @@
 	return due
 }
 
-func (q *Quarantine) logVerdicts(verdicts []quarantine.Verdict) {
+func (q *Quarantine) logVerdicts(verdicts []quarantine.Transition) {
 	for _, v := range verdicts {
-		if v.Held {
+		if v.IsHeld {
 			q.Logger.Warn("call held back", "content", v.Content.String(), "targets_ended", v.Row.GetTargets(), "weight", v.Row.GetWeight(), "round", v.Row.GetRounds(), "until_unix_ms", v.Row.GetDue())
 			continue
 		}
--- a/services/control/query.go
+++ b/services/control/query.go
@@ -93,7 +93,7 @@
 		byName[name] = sum
 	}
 	t := &table{columns: []string{"organisation", "share", "granted", "spent"}}
-	for _, o := range state.Sorted(st.Organisations) {
+	for _, o := range state.SortedByKey(st.Organisations) {
 		sum := byName[o.GetName()]
 		t.add(o.GetName(), number(uint64(o.GetShare())), number(sum.granted), number(sum.spent))
 	}
@@ -114,7 +114,7 @@
 		usage[group] = sum
 	}
 	t := &table{columns: []string{"group", "organisation", "budget", "models", "services", "priority", "requests", "billed", "written_off", "reserved", "waiting"}}
-	for _, g := range state.Sorted(st.Groups) {
+	for _, g := range state.SortedByKey(st.Groups) {
 		u := usage[g.GetName()]
 		t.add(g.GetName(), state.OrganisationOf(g.GetName()), g.GetBudget(), strings.Join(g.GetModels(), ","), strings.Join(g.GetServices(), ","),
 			PriorityName(g.GetPriority()), number(u.GetRequests()), number(u.GetSpent()-u.GetWrittenOff()), number(u.GetWrittenOff()), number(u.GetReserved()), number(u.GetWaiting()))
@@ -132,7 +132,7 @@
 
 func budgets(st *state.State) *table {
 	t := &table{columns: []string{"budget", "granted", "spent", "reserved", "free", "unallotted", "lost"}}
-	for _, b := range state.Sorted(st.Budgets) {
+	for _, b := range state.SortedByKey(st.Budgets) {
 		spent, reserved := b.Spent(), uint64(0)
 		for _, a := range b.Allotments {
 			reserved += a.GetReserved()
@@ -147,7 +147,7 @@
 
 func allotments(st *state.State) *table {
 	t := &table{columns: []string{"budget", "holder", "allotted", "returned", "spent", "reserved", "rate"}}
-	for _, b := range state.Sorted(st.Budgets) {
+	for _, b := range state.SortedByKey(st.Budgets) {
 		for _, a := range b.Allotments {
 			t.add(b.Name, a.GetHolder(), number(a.GetAllotted()), number(a.GetReturned()), number(a.GetSpent()), number(a.GetReserved()), number(a.GetRate()))
 		}
@@ -157,7 +157,7 @@
 
 func keepers(st *state.State) *table {
 	t := &table{columns: []string{"box", "data_centre", "address", "holder", "lost"}}
-	for _, k := range state.Sorted(st.Keepers) {
+	for _, k := range state.SortedByKey(st.Keepers) {
 		t.add(k.GetBox(), k.GetDataCentre(), k.GetAddress(), k.GetHolder(), strings.Join(k.GetLost(), ","))
 	}
 	return t
@@ -165,7 +165,7 @@
 
 func drains(st *state.State) *table {
 	t := &table{columns: []string{"kind", "name"}}
-	for _, d := range state.Sorted(st.Drains) {
+	for _, d := range state.SortedByKey(st.Drains) {
 		kind := "target"
 		if d.GetKind() == statev1.Drain_KIND_BOX {
 			kind = "box"
@@ -177,13 +177,13 @@
 
 func rollouts(st *state.State) *table {
 	t := &table{columns: []string{"name", "value", "meaning"}}
-	names := make([]string, 0, len(state.Rollouts))
-	for name := range state.Rollouts {
+	names := make([]string, 0, len(state.RolloutRanges))
+	for name := range state.RolloutRanges {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		t.add(name, strconv.FormatInt(st.Value(name), 10), state.Rollouts[name].Meaning)
+		t.add(name, strconv.FormatInt(st.RolloutValue(name), 10), state.RolloutRanges[name].Meaning)
 	}
 	return t
 }
@@ -194,7 +194,7 @@
 
 func commands(st *state.State) *table {
 	t := &table{columns: []string{"operator", "number", "outcome", "message", "revision"}}
-	for _, results := range state.Sorted(st.Results) {
+	for _, results := range state.SortedByKey(st.Results) {
 		for _, r := range results {
 			outcome := r.GetRefusal()
 			if outcome == "" {
@@ -208,7 +208,7 @@
 
 func orders(st *state.State) *table {
 	t := &table{columns: []string{"target", "kind", "value", "token"}}
-	for _, o := range state.Sorted(st.Orders) {
+	for _, o := range state.SortedByKey(st.Orders) {
 		kind := "load"
 		if o.GetKind() == statev1.Order_KIND_ROLE {
 			kind = "role"
@@ -220,7 +220,7 @@
 
 func keys(st *state.State) *table {
 	t := &table{columns: []string{"group", "digest"}}
-	for _, k := range state.Sorted(st.Keys) {
+	for _, k := range state.SortedByKey(st.Keys) {
 		t.add(k.GetGroup(), k.GetDigest()[:digestPrefixLen])
 	}
 	return t
--- a/services/control/recall.go
+++ b/services/control/recall.go
@@ -93,7 +93,7 @@
 		return
 	}
 	defer s.recalls.end(key)
-	resp, err := s.opts.Holders.Recall(ctx, rec.address, &betweenv1.RecallRequest{Budget: rec.budget, Tokens: rec.tokens, Asker: rec.asker})
+	resp, err := s.opts.Keepers.Recall(ctx, rec.address, &betweenv1.RecallRequest{Budget: rec.budget, Tokens: rec.tokens, Asker: rec.asker})
 	if err != nil {
 		s.opts.Logger.Debug("recall failed", "holder", rec.holder, "error", err)
 		return
--- a/services/control/reclaim.go
+++ b/services/control/reclaim.go
@@ -100,7 +100,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, clockTimeout)
 	defer cancel()
-	resp, err := g.Clocks(ctx, box)
+	resp, err := g.ReadRemoteClock(ctx, box)
 	return resp.GetDay(), err == nil
 }
 
@@ -112,7 +112,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, clockTimeout)
 	defer cancel()
-	resp, err := g.Clocks(ctx, stamp.GetClock())
+	resp, err := g.ReadRemoteClock(ctx, stamp.GetClock())
 	if err != nil || resp.GetBoot() != stamp.GetBoot() {
 		return 0, false
 	}
@@ -126,10 +126,10 @@
 	held := uint64(0)
 	g.Machine.Read(func(s *state.State) {
 		for _, b := range s.Routing.Prepaid {
-			a := b.Of(holder)
+			a := b.AllotmentOf(holder)
 			free := state.FreeAtReport(a)
 			held += free
-			if maxUsed := lease.MostUsed(a.GetBasis(), elapsed); free > maxUsed {
+			if maxUsed := lease.MaxUnreportedUse(a.GetBasis(), elapsed); free > maxUsed {
 				m.Changes = append(m.Changes, &statev1.LeaseChange{Organisation: b.Name, Returned: free - maxUsed})
 			}
 		}
--- a/services/control/wallclock.go
+++ b/services/control/wallclock.go
@@ -25,9 +25,9 @@
 	boot time.Duration
 }
 
-// WatchDays reads the wall clocks of the control group's members periodically
+// WatchWallClocks reads the wall clocks of the control group's members periodically
 // while this box is the leader, until the context is done.
-func (g *Gateway) WatchDays(ctx context.Context) {
+func (g *Gateway) WatchWallClocks(ctx context.Context) {
 	periodic.Run(ctx, wallClockInterval, func(ctx context.Context) {
 		if g.Log.ReadBarrier() != nil {
 			return
--- a/services/dispatch/dispatch.go
+++ b/services/dispatch/dispatch.go
@@ -57,8 +57,8 @@
 // Sink receives a streamed answer on behalf of the caller. An error means that the
 // caller has disconnected.
 type Sink interface {
-	// Alive tells a caller that waits that its request is still being handled.
-	Alive(note string) error
+	// KeepAlive tells a caller that waits that its request is still being handled.
+	KeepAlive(note string) error
 	// Event forwards one event of the answer.
 	Event(e engine.Event) error
 }
@@ -132,8 +132,8 @@
 	Clock      clock.Clock
 	Recorder   *timeline.Recorder
 	Logger     *slog.Logger
-	// AliveInterval is the time between calls of Sink.Alive for a queued request.
-	AliveInterval time.Duration
+	// KeepAliveInterval is the time between calls of Sink.Alive for a queued request.
+	KeepAliveInterval time.Duration
 	// Seed initialises the random source of the routing policies.
 	Seed    int64
 	Metrics Metrics
@@ -227,9 +227,9 @@
 	d.reservations[keeper] += delta
 }
 
-// Settled waits until every settlement has reached its keeper. It returns the
+// WaitSettled waits until every settlement has reached its keeper. It returns the
 // context's error if the context ends first.
-func (d *Dispatcher) Settled(ctx context.Context) error { return d.settler.wait(ctx) }
+func (d *Dispatcher) WaitSettled(ctx context.Context) error { return d.settler.wait(ctx) }
 
 // Status returns the length of the queue and the load of each target.
 func (d *Dispatcher) Status() structs.EntryStatus {
@@ -237,7 +237,7 @@
 	defer d.mu.Unlock()
 	now := d.opts.Clock.Boot()
 	status := structs.EntryStatus{Queued: d.queue.Len()}
-	for _, t := range state.Sorted(d.targets.Targets) {
+	for _, t := range state.SortedByKey(d.targets.Targets) {
 		status.Running += t.InFlight
 		status.Targets = append(status.Targets, structs.TargetStatus{
 			Name:     t.Name,
