--- a/modules/disk/disk.go
+++ b/modules/disk/disk.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package disk is the seam to a box's data folder. A file lasts only once it
-// and its folder are synced; the interface makes both steps visible so that a
-// test can fail or lose any of them.
+// Package disk abstracts the file access to a box's data folder. A file is durable
+// only once both the file and its folder are synced. The interface has both as
+// separate steps, so that a test can make either fail or lose its effect.
 package disk
 
 import (
@@ -20,7 +20,7 @@
 	folderMode = 0o700
 )
 
-// File is an open file that can be appended to and made to last.
+// File is a file that is open for appending. Written data is durable after Sync.
 type File interface {
 	io.Writer
 	Sync() error
@@ -28,36 +28,38 @@
 	Truncate(size int64) error
 }
 
-// Disk is one flat data folder.
+// Disk is a data folder without subfolders.
 type Disk interface {
-	// Append opens a file for writing at its end and creates it when missing.
+	// Append opens a file for appending and creates it when it does not exist.
 	Append(name string) (File, error)
-	// ReadFile returns the whole content, or an error for which IsNotExist holds.
+	// ReadFile returns the whole content. IsNotExist holds for its error when the
+	// file does not exist.
 	ReadFile(name string) ([]byte, error)
-	// Replace writes a file so that a crash leaves the old or the new content.
+	// Replace writes a file atomically: after a crash it has either the old or the
+	// new content. When it returns, the new content is durable.
 	Replace(name string, data []byte) error
-	// Remove deletes a file; a missing one is no error.
+	// Remove deletes a file. It returns nil when the file does not exist.
 	Remove(name string) error
-	// List returns the names of all files in order.
+	// List returns the sorted names of all files.
 	List() ([]string, error)
-	// SyncFolder makes creations, renames and removals last.
+	// SyncFolder makes file creations, renames and removals durable.
 	SyncFolder() error
 }
 
-// IsNotExist tells whether an error says that a file does not exist.
+// IsNotExist reports whether an error means that a file does not exist.
 func IsNotExist(err error) bool {
 	return os.IsNotExist(errors.Cause(err))
 }
 
-// folder is a Disk on a folder of the operating system.
+// folder implements Disk on a folder of the file system.
 type folder struct {
 	path string
 }
 
-// Open returns the folder at a path and creates it when missing.
+// Open returns the folder at a path and creates it when it does not exist.
 func Open(path string) (Disk, error) {
 	if err := os.MkdirAll(path, folderMode); err != nil {
-		return nil, errors.Wrapf(err, "cannot create the data folder %s: check its parent's rights", path)
+		return nil, errors.Wrapf(err, "cannot create the data folder %s: check the permissions of its parent folder", path)
 	}
 	return &folder{path: path}, nil
 }
@@ -73,16 +75,17 @@
 }
 
 func (d *folder) Replace(name string, data []byte) error {
-	temporary := filepath.Join(d.path, name+".tmp")
-	if err := writeSynced(temporary, data); err != nil {
+	tmp := filepath.Join(d.path, name+".tmp")
+	if err := writeSynced(tmp, data); err != nil {
 		return err
 	}
-	if err := os.Rename(temporary, filepath.Join(d.path, name)); err != nil {
+	if err := os.Rename(tmp, filepath.Join(d.path, name)); err != nil {
 		return errors.WithStack(err)
 	}
 	return d.SyncFolder()
 }
 
+// writeSynced writes a file and syncs it, but not its folder.
 func writeSynced(path string, data []byte) error {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, fileMode)
 	if err != nil {
--- a/modules/disk/disktest/memory.go
+++ b/modules/disk/disktest/memory.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package disktest is a data folder in memory for tests. It keeps what was
-// written apart from what was synced, so that a crash can lose the difference,
-// and it can be told to fail.
+// Package disktest provides an in-memory disk.Disk for tests. It tracks which
+// bytes were synced, so that a simulated crash can lose the others, and it can
+// inject write errors.
 package disktest
 
 import (
@@ -16,16 +16,17 @@
 	"havenwinch.dev/havenwinch/modules/disk"
 )
 
-// Memory is a Disk in memory.
+// Memory is an in-memory disk.Disk. It is safe for concurrent use.
 type Memory struct {
-	mu      sync.Mutex
-	files   map[string]*content
-	failing error
-	syncs   int
+	mu          sync.Mutex
+	files       map[string]*content
+	injectedErr error
+	syncs       int
 }
 
 type content struct {
-	data   []byte
+	data []byte
+	// synced is the number of leading bytes that survive a crash.
 	synced int
 }
 
@@ -34,22 +35,24 @@
 	return &Memory{files: map[string]*content{}}
 }
 
-// Fail makes every later write and sync return an error; nil ends it.
+// Fail makes every later open, write, replace and sync return err, until it is
+// called with nil.
 func (m *Memory) Fail(err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.failing = err
+	m.injectedErr = err
 }
 
-// Syncs returns how many file syncs took place.
+// Syncs returns the number of successful file syncs. Those of Replace and
+// SyncFolder don't count.
 func (m *Memory) Syncs() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.syncs
 }
 
-// Crash returns what a new process would find: synced bytes, and of the bytes
-// that were not synced the first torn ones.
+// Crash returns a copy of the folder as a process would find it after a crash:
+// each file has its synced bytes and up to torn of the bytes after them.
 func (m *Memory) Crash(torn int) *Memory {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -61,7 +64,7 @@
 	return next
 }
 
-// Flip inverts one byte of a file, counted from its end.
+// Flip inverts one byte of a file; fromEnd is its offset from the last byte.
 func (m *Memory) Flip(name string, fromEnd int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -73,13 +76,13 @@
 func (m *Memory) Append(name string) (disk.File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.failing != nil {
-		return nil, m.failing
+	if m.injectedErr != nil {
+		return nil, m.injectedErr
 	}
 	if m.files[name] == nil {
 		m.files[name] = &content{}
 	}
-	return &file{owner: m, content: m.files[name]}, nil
+	return &file{disk: m, content: m.files[name]}, nil
 }
 
 // ReadFile implements disk.Disk.
@@ -97,8 +100,8 @@
 func (m *Memory) Replace(name string, data []byte) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.failing != nil {
-		return m.failing
+	if m.injectedErr != nil {
+		return m.injectedErr
 	}
 	m.files[name] = &content{data: append([]byte(nil), data...), synced: len(data)}
 	return nil
@@ -128,38 +131,38 @@
 func (m *Memory) SyncFolder() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.failing
+	return m.injectedErr
 }
 
 type file struct {
-	owner   *Memory
+	disk    *Memory
 	content *content
 }
 
 func (f *file) Write(p []byte) (int, error) {
-	f.owner.mu.Lock()
-	defer f.owner.mu.Unlock()
-	if f.owner.failing != nil {
-		return 0, f.owner.failing
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
+	if f.disk.injectedErr != nil {
+		return 0, f.disk.injectedErr
 	}
 	f.content.data = append(f.content.data, p...)
 	return len(p), nil
 }
 
 func (f *file) Sync() error {
-	f.owner.mu.Lock()
-	defer f.owner.mu.Unlock()
-	if f.owner.failing != nil {
-		return f.owner.failing
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
+	if f.disk.injectedErr != nil {
+		return f.disk.injectedErr
 	}
-	f.owner.syncs++
+	f.disk.syncs++
 	f.content.synced = len(f.content.data)
 	return nil
 }
 
 func (f *file) Truncate(size int64) error {
-	f.owner.mu.Lock()
-	defer f.owner.mu.Unlock()
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
 	f.content.data = f.content.data[:size]
 	f.content.synced = min(f.content.synced, int(size))
 	return nil
--- a/modules/wal/committer.go
+++ b/modules/wal/committer.go
@@ -8,18 +8,21 @@
 	"sync"
 )
 
-// Committer lets many goroutines append to one log and shares syncs among
-// them: records that arrive during a sync go into the next one together.
+// Committer appends to a log for many goroutines and batches their syncs (group
+// commit): records that are queued during a sync share the next one.
 type Committer struct {
-	// io is held while the log is written; it is taken before mu.
-	io      sync.Mutex
+	// io guards log and is held during writes and syncs; it is locked before mu.
+	io sync.Mutex
+	// mu guards the fields below except log.
 	mu      sync.Mutex
 	log     *Log
 	pending [][]byte
-	// queued counts records that were handed in, done those that last.
-	queued  uint64
-	done    uint64
-	err     error
+	// queued is the position of the last queued record, done that of the last
+	// record that is durable.
+	queued uint64
+	done   uint64
+	err    error
+	// changed is closed and replaced whenever done or err changes.
 	changed chan struct{}
 	wake    chan struct{}
 	stopped chan struct{}
@@ -27,7 +30,8 @@
 	syncs   uint64
 }
 
-// NewCommitter starts the goroutine that writes; Close ends it.
+// NewCommitter returns a committer and starts its writer goroutine, which Close
+// stops.
 func NewCommitter(l *Log) *Committer {
 	c := &Committer{
 		log:     l,
@@ -40,8 +44,9 @@
 	return c
 }
 
-// Queue hands a record in and returns its position. The order of calls is the
-// order in the log; a caller that changes a table holds its lock meanwhile.
+// Queue queues a record for writing and returns its position. Records are written
+// in the order of the calls, so a caller that changes a table calls Queue under
+// the table's lock.
 func (c *Committer) Queue(record []byte) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -58,16 +63,16 @@
 	}
 }
 
-// Position returns the position of the newest record handed in. Who waits for
-// it has everything that a table showed before.
+// Position returns the position of the last queued record. Waiting for it makes
+// every change durable that was visible in a table before the call.
 func (c *Committer) Position() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.queued
 }
 
-// Wait returns once everything up to a position lasts, or with the error that
-// keeps it from lasting.
+// Wait blocks until every record up to a position is durable. It returns an error
+// when the log has failed or the context is cancelled.
 func (c *Committer) Wait(ctx context.Context, position uint64) error {
 	for {
 		c.mu.Lock()
@@ -87,22 +92,23 @@
 	}
 }
 
-// Err returns the error that stopped the log, or nil.
+// Err returns the error on which the log has failed, or nil.
 func (c *Committer) Err() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.err
 }
 
-// Syncs returns the number of syncs so far.
+// Syncs returns the number of batches written and synced so far.
 func (c *Committer) Syncs() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.syncs
 }
 
-// Compact replaces the log by a snapshot. The caller holds the lock under
-// which it queues, so the snapshot covers every record queued before.
+// Compact replaces the log by a snapshot. The caller holds the lock under which
+// it calls Queue, so that the snapshot covers every record queued before; pending
+// ones are dropped.
 func (c *Committer) Compact(snapshot []byte) error {
 	c.io.Lock()
 	defer c.io.Unlock()
@@ -113,23 +119,24 @@
 	}
 	c.pending = nil
 	if err := c.log.Compact(snapshot); err != nil {
-		c.finish(err)
+		c.notifyWaiters(err)
 		return err
 	}
 	c.done = c.queued
-	c.finish(nil)
+	c.notifyWaiters(nil)
 	return nil
 }
 
-// Size returns the bytes of the log since the last snapshot.
+// Size returns the size of the log since the last snapshot, in bytes.
 func (c *Committer) Size() int64 {
 	c.io.Lock()
 	defer c.io.Unlock()
 	return c.log.Size()
 }
 
-// finish wakes all waiters; the caller holds the lock.
-func (c *Committer) finish(err error) {
+// notifyWaiters records an error, if any, and wakes all waiters. The caller holds
+// mu.
+func (c *Committer) notifyWaiters(err error) {
 	if err != nil {
 		c.err = err
 	}
@@ -149,8 +156,8 @@
 	}
 }
 
-// flush writes what is pending. Queue must not wait for the sync, so the batch
-// is taken out first and only io is held.
+// flush writes and syncs the pending records. It releases mu before it writes, so
+// that Queue does not wait for the sync.
 func (c *Committer) flush() {
 	c.io.Lock()
 	defer c.io.Unlock()
@@ -169,10 +176,11 @@
 		c.done = max(c.done, position)
 		c.syncs++
 	}
-	c.finish(err)
+	c.notifyWaiters(err)
 }
 
-// Close writes what is pending and ends the goroutine.
+// Close stops the writer goroutine, writes the pending records and closes the log.
+// It returns only an error of closing the file; Err has those of writing.
 func (c *Committer) Close() error {
 	close(c.quit)
 	<-c.stopped
--- a/modules/wal/wal.go
+++ b/modules/wal/wal.go
@@ -1,12 +1,14 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package wal is a write-ahead log with snapshots in a data folder. Records
-// carry a checksum; a torn tail, which a crash can leave, is cut off, while a
-// damaged record before intact ones is reported and never skipped.
+// Package wal is a write-ahead log with snapshots in a data folder. Each record
+// carries a checksum. An incomplete record at the end of the file, which a crash
+// can leave, is truncated; a corrupted record that intact ones follow is reported
+// as an error and never skipped.
 //
-// A generation n is a pair of files: snapshot-n, written whole, and log-n, the
-// records after it. Compaction writes generation n+1 and then drops n.
+// Generation n is a pair of files: snapshot-n, which is replaced atomically, and
+// log-n, the records after it. Compaction writes generation n+1 and then deletes
+// n. Generation 0 has no snapshot.
 package wal
 
 import (
@@ -22,7 +24,10 @@
 )
 
 const (
-	headerSize     = 8
+	// headerSize is the size of a record's header in bytes: the length of the body
+	// and the checksum of both, four bytes each, little endian.
+	headerSize = 8
+	// maxRecord is the maximum size of a record in bytes.
 	maxRecord      = 64 << 20
 	snapshotPrefix = "snapshot-"
 	logPrefix      = "log-"
@@ -30,42 +35,47 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// ErrDamaged says that stored bytes are not what was written.
-type ErrDamaged struct {
+// ErrCorrupted is returned when a stored file differs from what was written.
+// Offset is the position of the first corrupted record, in bytes.
+type ErrCorrupted struct {
 	File   string
 	Offset int
 }
 
-func (e ErrDamaged) Error() string {
-	return fmt.Sprintf("file %s is damaged at byte %d: move the data folder aside and start the box empty, so that it is repaired from the others", e.File, e.Offset)
+func (e ErrCorrupted) Error() string {
+	return fmt.Sprintf("file %s is corrupted at byte %d: move the data folder aside and restart the box with an empty one, so that the other boxes restore its state", e.File, e.Offset)
 }
 
-// IsErrDamaged tells whether an error is an ErrDamaged.
-func IsErrDamaged(err error) bool {
-	_, ok := errors.Cause(err).(ErrDamaged)
+// IsErrCorrupted reports whether an error is an ErrCorrupted.
+func IsErrCorrupted(err error) bool {
+	_, ok := errors.Cause(err).(ErrCorrupted)
 	return ok
 }
 
-// Log is an open write-ahead log. It is not safe for concurrent use; a
-// Committer makes it so.
+// Log is an open write-ahead log. It is not safe for concurrent use; wrap it in a
+// Committer for that.
 type Log struct {
 	disk       disk.Disk
 	file       disk.File
 	generation uint64
-	size       int64
-	failed     error
+	// size is the size of the log file in bytes.
+	size int64
+	// failed is the first write error; the log refuses writes after it.
+	failed error
 }
 
-// Content is what a log held when it was opened.
+// Content is the content of a log at the time it was opened.
 type Content struct {
-	// Snapshot is nil when none was ever written.
+	// Snapshot is nil when the log was never compacted.
 	Snapshot []byte
-	Records  [][]byte
-	// Torn is the number of bytes that were cut off at the end.
+	// Records are the records after the snapshot, oldest first.
+	Records [][]byte
+	// Torn is the number of bytes of an incomplete record that were truncated.
 	Torn int
 }
 
-// Open reads the newest generation and makes it ready for appending.
+// Open reads the newest generation and opens it for appending. It returns an
+// ErrCorrupted when a file is corrupted.
 func Open(d disk.Disk) (*Log, Content, error) {
 	generation, err := newestGeneration(d)
 	if err != nil {
@@ -134,13 +144,14 @@
 		return nil, err
 	}
 	if len(records) != 1 || used != len(data) {
-		return nil, errors.WithStack(ErrDamaged{File: l.snapshotName()})
+		return nil, errors.WithStack(ErrCorrupted{File: l.snapshotName()})
 	}
 	return records[0], nil
 }
 
-// decode returns the intact records and the bytes they take. A bad record is
-// a torn tail only when nothing intact can follow it: it reaches the end.
+// decode returns the intact records and their size in bytes. An invalid record
+// counts as an incomplete write only when it reaches the end of the file and no
+// intact record follows; otherwise decode returns an ErrCorrupted.
 func decode(name string, data []byte) ([][]byte, int, error) {
 	var records [][]byte
 	offset := 0
@@ -152,17 +163,17 @@
 		size := int(binary.LittleEndian.Uint32(rest))
 		sum := binary.LittleEndian.Uint32(rest[4:])
 		if size > len(rest)-headerSize {
-			if intactAfter(rest[headerSize:]) {
-				return nil, 0, errors.WithStack(ErrDamaged{File: name, Offset: offset})
+			if containsRecord(rest[headerSize:]) {
+				return nil, 0, errors.WithStack(ErrCorrupted{File: name, Offset: offset})
 			}
 			return records, offset, nil
 		}
 		body := rest[headerSize : headerSize+size]
 		if checksum(rest[:4], body) != sum {
-			if headerSize+size == len(rest) && !intactAfter(rest[headerSize:]) {
+			if headerSize+size == len(rest) && !containsRecord(rest[headerSize:]) {
 				return records, offset, nil
 			}
-			return nil, 0, errors.WithStack(ErrDamaged{File: name, Offset: offset})
+			return nil, 0, errors.WithStack(ErrCorrupted{File: name, Offset: offset})
 		}
 		records = append(records, append([]byte(nil), body...))
 		offset += headerSize + size
@@ -170,13 +181,14 @@
 	return records, offset, nil
 }
 
-// scanLimit bounds the search for intact records after a bad one, in bytes.
-const scanLimit = 1 << 20
+// maxTailScan limits the search for intact records after an invalid one, in bytes.
+const maxTailScan = 1 << 20
 
-// intactAfter tells whether a whole record stands somewhere in the bytes,
-// which would mean that the bad record before it was once complete.
-func intactAfter(data []byte) bool {
-	for i := 1; i+headerSize < len(data) && i < scanLimit; i++ {
+// containsRecord reports whether an intact record starts anywhere in data. That
+// would mean that the invalid record before it was once complete, so it is
+// corrupted and not an incomplete write.
+func containsRecord(data []byte) bool {
+	for i := 1; i+headerSize < len(data) && i < maxTailScan; i++ {
 		size := int(binary.LittleEndian.Uint32(data[i:]))
 		if size == 0 || size > len(data)-i-headerSize {
 			continue
@@ -193,6 +205,7 @@
 	return crc32.Update(crc32.Checksum(size, castagnoli), castagnoli, body)
 }
 
+// encode appends a record with its header to buffer.
 func encode(buffer, record []byte) []byte {
 	var header [headerSize]byte
 	binary.LittleEndian.PutUint32(header[:], uint32(len(record)))
@@ -201,6 +214,7 @@
 	return append(buffer, record...)
 }
 
+// openFile opens the log file for appending and truncates torn bytes at its end.
 func (l *Log) openFile(torn int64) error {
 	f, err := l.disk.Append(l.logName())
 	if err != nil {
@@ -218,8 +232,8 @@
 	return l.disk.SyncFolder()
 }
 
-// Append writes records and syncs them together. After an error the log takes
-// nothing more, since it can't be known what a failed sync has kept.
+// Append writes records with a single sync. After a write or sync error the log
+// refuses further writes, since it is unknown what a failed sync has stored.
 func (l *Log) Append(records ...[]byte) error {
 	if l.failed != nil {
 		return l.failed
@@ -241,10 +255,11 @@
 	return nil
 }
 
-// Size returns the bytes of the current log file.
+// Size returns the size of the current log file in bytes.
 func (l *Log) Size() int64 { return l.size }
 
-// Compact replaces everything by a snapshot and the records that follow it.
+// Compact replaces the whole log by a snapshot and the records that follow it, in
+// a new generation.
 func (l *Log) Compact(snapshot []byte, records ...[]byte) error {
 	if l.failed != nil {
 		return l.failed
@@ -254,7 +269,7 @@
 	for _, record := range records {
 		buffer = encode(buffer, record)
 	}
-	// The log goes first: a generation counts only once its snapshot stands.
+	// The log is written first: a generation is used only once its snapshot exists.
 	if err := l.disk.Replace(next.logName(), buffer); err != nil {
 		return l.fail(err)
 	}
@@ -267,23 +282,24 @@
 	}
 	old := *l
 	*l = *next
-	old.drop()
+	old.removeFiles()
 	return nil
 }
 
-func (l *Log) drop() {
-	// A leftover file of an old generation is harmless; errors are not.
+func (l *Log) removeFiles() {
+	// Errors are ignored: Open reads the newest generation only, so a leftover file
+	// does no harm, while failing a compaction that succeeded would.
 	_ = l.file.Close()
 	_ = l.disk.Remove(l.snapshotName())
 	_ = l.disk.Remove(l.logName())
 }
 
+// fail records err as the reason why the log refuses further writes.
 func (l *Log) fail(err error) error {
 	l.failed = errors.Wrap(err, "the data folder can't be written: free space or replace the disk, then restart the box")
 	return l.failed
 }
 
-// Close closes the log file.
 func (l *Log) Close() error { return l.file.Close() }
 
 func (l *Log) logName() string { return fmt.Sprintf("%s%08d", logPrefix, l.generation) }
--- a/modules/wal/wal_test.go
+++ b/modules/wal/wal_test.go
@@ -41,13 +41,14 @@
 	}
 }
 
-// TestFaults brings about what a disk can do and says what is left after it.
-func TestFaults(t *testing.T) {
+// TestRecoveryAfterDiskFault checks which records Open returns after a crash, an
+// incomplete write, a full disk and a compaction.
+func TestRecoveryAfterDiskFault(t *testing.T) {
 	tests := map[string]struct {
 		fault func(t *testing.T, d *disktest.Memory, l *Log) *disktest.Memory
 		want  []string
 	}{
-		"crash loses what was not synced": {
+		"crash loses unsynced records": {
 			func(t *testing.T, d *disktest.Memory, l *Log) *disktest.Memory {
 				_, err := l.file.Write(encode(nil, []byte("three")))
 				must(t, err)
@@ -55,7 +56,7 @@
 			},
 			[]string{"one", "two"},
 		},
-		"torn record is cut off": {
+		"torn record is truncated": {
 			func(t *testing.T, d *disktest.Memory, l *Log) *disktest.Memory {
 				_, err := l.file.Write(encode(nil, []byte("three")))
 				must(t, err)
@@ -63,7 +64,7 @@
 			},
 			[]string{"one", "two"},
 		},
-		"torn header is cut off": {
+		"torn header is truncated": {
 			func(t *testing.T, d *disktest.Memory, l *Log) *disktest.Memory {
 				_, err := l.file.Write(encode(nil, []byte("three")))
 				must(t, err)
@@ -71,21 +72,21 @@
 			},
 			[]string{"one", "two"},
 		},
-		"full disk stops the log and keeps what lasted": {
+		"full disk stops the log and keeps synced records": {
 			func(t *testing.T, d *disktest.Memory, l *Log) *disktest.Memory {
 				d.Fail(errFull)
 				if err := l.Append([]byte("three")); err == nil {
-					t.Error("an append to a full disk succeeded")
+					t.Error("Append() on a full disk succeeded")
 				}
 				d.Fail(nil)
 				if err := l.Append([]byte("four")); err == nil {
-					t.Error("the log went on after a failed sync")
+					t.Error("Append() succeeded after an earlier write error")
 				}
 				return d.Crash(0)
 			},
 			[]string{"one", "two"},
 		},
-		"snapshot replaces what was before": {
+		"snapshot replaces earlier records": {
 			func(t *testing.T, d *disktest.Memory, l *Log) *disktest.Memory {
 				must(t, l.Compact([]byte("state"), []byte("rest")))
 				must(t, l.Append([]byte("new")))
@@ -104,23 +105,23 @@
 			if diff := cmp.Diff(test.want, got); diff != "" {
 				t.Error(diff)
 			}
-			// What is opened after a fault must take new records.
+			// A log that was opened after a fault must accept new records.
 			must(t, again.Append([]byte("later")))
 			if _, got := open(t, after.Crash(0)); got[len(got)-1] != "later" {
-				t.Errorf("after the fault the log holds %q", got)
+				t.Errorf("after the fault the log holds %q, want the appended record last", got)
 			}
 		})
 	}
 }
 
-func TestFlippedByteIsReported(t *testing.T) {
+func TestCorruptedRecordIsReported(t *testing.T) {
 	for name, fromEnd := range map[string]int{"in the first record": 20, "in a length": 32 + 3} {
 		t.Run(name, func(t *testing.T) {
 			d := disktest.New()
 			l, _ := open(t, d)
 			must(t, l.Append([]byte("first"), []byte("second"), []byte("third")))
 			d.Flip("log-00000000", fromEnd)
-			if _, _, err := Open(d.Crash(0)); !IsErrDamaged(err) {
+			if _, _, err := Open(d.Crash(0)); !IsErrCorrupted(err) {
 				t.Errorf("got %v, want ErrDamaged", err)
 			}
 		})
@@ -145,7 +146,7 @@
 	}
 	wg.Wait()
 	if got := c.Syncs(); got > writers {
-		t.Errorf("%d syncs for %d records", got, writers)
+		t.Errorf("%d syncs for %d records, want no more than one per record", got, writers)
 	}
 	must(t, c.Compact([]byte("all")))
 	must(t, c.Wait(context.Background(), c.Queue([]byte("more"))))
@@ -155,17 +156,17 @@
 	}
 }
 
-func TestCommitterTellsEveryWaiterOfAFailure(t *testing.T) {
+func TestCommitterFailsAllWaitersAfterWriteError(t *testing.T) {
 	d := disktest.New()
 	l, _ := open(t, d)
 	c := NewCommitter(l)
 	d.Fail(errFull)
 	for range 3 {
 		if err := c.Wait(context.Background(), c.Queue([]byte("lost"))); err == nil {
-			t.Fatal("a record that does not last was reported as lasting")
+			t.Fatal("Wait() reported a record as durable although it could not be written")
 		}
 	}
 	if c.Err() == nil {
-		t.Error("the committer does not say that it has stopped")
+		t.Error("Err() = nil after a write error")
 	}
 }
