--- a/modules/clock/boot.go
+++ b/modules/clock/boot.go
@@ -8,17 +8,17 @@
 	"strings"
 )
 
-// bootIDFile names the machine's present boot on Linux.
+// bootIDFile holds a random identifier on Linux that changes with each boot.
 const bootIDFile = "/proc/sys/kernel/random/boot_id"
 
-// BootID returns the name of the machine's present boot: times of the boot
-// clock can be compared as long as it is the same. Where the system names none,
-// otherwise is returned.
-func BootID(otherwise string) string {
+// BootID returns the identifier of the machine's current boot. Readings of the
+// boot clock are comparable only under the same identifier. It returns fallback
+// when the system provides none.
+func BootID(fallback string) string {
 	data, err := os.ReadFile(bootIDFile)
 	id := strings.TrimSpace(string(data))
 	if err != nil || id == "" {
-		return otherwise
+		return fallback
 	}
 	return id
 }
--- a/modules/clock/clock.go
+++ b/modules/clock/clock.go
@@ -1,10 +1,9 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package clock gives time as two separate readings: the wall, which can
-// jump, for records that people read; and the boot clock, which never goes
-// back and also counts while the process is frozen or the box is suspended,
-// for every lease and timeout.
+// Package clock provides two separate clocks. The wall clock can jump and is meant
+// for records that people read. The boot clock never goes back, and also advances
+// while the process is frozen or the box is suspended; leases and timeouts use it.
 package clock
 
 import (
@@ -13,15 +12,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock reads time.
+// Clock reads the wall clock and the boot clock.
 type Clock interface {
-	// Wall is the time of day; it can jump.
+	// Wall returns the time of day, which can jump in both directions.
 	Wall() time.Time
-	// Boot is the time since the box booted; it only rises.
+	// Boot returns the time since the box booted, which never decreases.
 	Boot() time.Duration
 }
 
-// System is the operating system's clock.
+// System reads the clocks of the operating system.
 type System struct{}
 
 // Wall implements Clock.
@@ -31,7 +30,7 @@
 func (System) Boot() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		panic("clock: the boot clock can't be read: " + err.Error())
+		panic("clock: failed to read CLOCK_BOOTTIME: " + err.Error())
 	}
 	return time.Duration(ts.Nano())
 }
--- a/modules/clock/fake.go
+++ b/modules/clock/fake.go
@@ -8,14 +8,15 @@
 	"time"
 )
 
-// Fake is a clock that stands still until it is moved.
+// Fake is a Clock for tests that changes only by Advance and Jump. It is safe for
+// concurrent use.
 type Fake struct {
 	mu   sync.Mutex
 	wall time.Time
 	boot time.Duration
 }
 
-// NewFake returns a clock at a fixed time of day.
+// NewFake returns a clock at 2026-01-01 00:00 UTC, one hour after boot.
 func NewFake() *Fake {
 	return &Fake{wall: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), boot: time.Hour}
 }
@@ -34,7 +35,7 @@
 	return c.boot
 }
 
-// Advance moves both readings.
+// Advance moves both the wall clock and the boot clock.
 func (c *Fake) Advance(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -42,7 +43,7 @@
 	c.boot += d
 }
 
-// Jump moves only the time of day, as a wrong time server would.
+// Jump moves only the wall clock, as an adjustment by a wrong time server would.
 func (c *Fake) Jump(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/modules/digest/digest.go
+++ b/modules/digest/digest.go
@@ -1,7 +1,8 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package digest turns keys and bodies into digests, so that neither is kept.
+// Package digest computes the digests under which access keys and request bodies
+// are stored, so that they need not be stored themselves.
 package digest
 
 import (
@@ -10,10 +11,11 @@
 	"encoding/hex"
 )
 
-// Size is the length of a digest in hexadecimal digits.
+// Size is the length of a digest, in hexadecimal digits.
 const Size = 2 * sha256.Size
 
-// Of returns the hexadecimal SHA-256 digest of parts, each set off from the next.
+// Of returns a hexadecimal SHA-256 digest. For several parts it is the digest of
+// their digests, so that it also depends on where the parts are divided.
 func Of(parts ...[]byte) string {
 	if len(parts) == 1 {
 		sum := sha256.Sum256(parts[0])
@@ -32,7 +34,7 @@
 	return subtle.ConstantTimeCompare([]byte(a), []byte(b)) == 1
 }
 
-// Valid tells whether a text has the form of a digest.
+// Valid reports whether text has the length and the digits of a digest.
 func Valid(text string) bool {
 	if len(text) != Size {
 		return false
--- a/modules/graceful/graceful.go
+++ b/modules/graceful/graceful.go
@@ -1,9 +1,10 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package graceful owns the end of a process. A first signal starts draining:
-// the box turns unready and takes no new work, and what runs may end. A second
-// signal, or the limit, ends everything at once.
+// Package graceful manages the shutdown of a process. The first signal starts
+// draining: the box reports that it is not ready and takes no new work, while work
+// in progress may finish. A second signal, or the time limit for draining, cancels
+// the work in progress.
 package graceful
 
 import (
@@ -15,45 +16,49 @@
 	"time"
 )
 
-// Manager passes the contexts of a process's life.
+// Manager holds the contexts that signal the two stages of a shutdown.
 type Manager struct {
-	draining context.Context
-	drain    context.CancelFunc
-	hammer   context.Context
-	strike   context.CancelFunc
-	limit    time.Duration
-	once     sync.Once
+	draining       context.Context
+	cancelDraining context.CancelFunc
+	hammer         context.Context
+	cancelHammer   context.CancelFunc
+	limit          time.Duration
+	once           sync.Once
 }
 
-// New returns a manager with a limit for draining.
+// New returns a manager; limit is the maximum time for draining.
 func New(limit time.Duration) *Manager {
 	m := &Manager{limit: limit}
-	m.draining, m.drain = context.WithCancel(context.Background())
-	m.hammer, m.strike = context.WithCancel(context.Background())
+	m.draining, m.cancelDraining = context.WithCancel(context.Background())
+	m.hammer, m.cancelHammer = context.WithCancel(context.Background())
 	return m
 }
 
-// Draining ends when a stop begins; who takes new work stops then.
+// Draining returns a context that is cancelled when the shutdown starts. Code that
+// accepts new work stops then.
 func (m *Manager) Draining() context.Context { return m.draining }
 
-// Hammer ends when everything must end; work in progress runs under it.
+// Hammer returns the context for work in progress. It is cancelled when draining
+// exceeds its limit or is cut short.
 func (m *Manager) Hammer() context.Context { return m.hammer }
 
-// IsDraining tells whether a stop has begun.
+// IsDraining reports whether the shutdown has started.
 func (m *Manager) IsDraining() bool { return m.draining.Err() != nil }
 
-// Stop begins a stop; the limit counts from here.
+// Stop starts the shutdown and the time limit for draining. Further calls have no
+// effect.
 func (m *Manager) Stop() {
 	m.once.Do(func() {
-		m.drain()
-		time.AfterFunc(m.limit, m.strike)
+		m.cancelDraining()
+		time.AfterFunc(m.limit, m.cancelHammer)
 	})
 }
 
-// Strike ends everything at once.
-func (m *Manager) Strike() { m.strike() }
+// Terminate cancels the work in progress at once.
+func (m *Manager) Terminate() { m.cancelHammer() }
 
-// HandleSignals stops at the first SIGTERM or SIGINT and strikes at the second.
+// HandleSignals calls Stop at the first SIGTERM or SIGINT and Terminate at the
+// second. It does not block.
 func (m *Manager) HandleSignals() {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
@@ -61,6 +66,6 @@
 		<-signals
 		m.Stop()
 		<-signals
-		m.Strike()
+		m.Terminate()
 	}()
 }
--- a/modules/hlc/hlc.go
+++ b/modules/hlc/hlc.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package hlc is a hybrid logical clock (Kulkarni et al. 2014): stamps that
-// follow the time of day closely and still order every message after the
-// events that led to it, whatever the boxes' clocks say.
+// Package hlc is a hybrid logical clock (Kulkarni et al. 2014). Its timestamps
+// stay close to the wall clock and still respect causality: a message is ordered
+// after the events that led to it, even when the clocks of the boxes differ.
 package hlc
 
 import (
@@ -15,13 +15,14 @@
 	"havenwinch.dev/havenwinch/modules/clock"
 )
 
-// Stamp is a reading: milliseconds of Unix time and a counter inside them.
+// Stamp is a timestamp: Unix time in milliseconds, and a counter that orders
+// stamps within the same millisecond.
 type Stamp struct {
 	Milli   int64
 	Counter uint32
 }
 
-// Less orders stamps.
+// Less reports whether s is before o.
 func (s Stamp) Less(o Stamp) bool {
 	if s.Milli != o.Milli {
 		return s.Milli < o.Milli
@@ -29,10 +30,10 @@
 	return s.Counter < o.Counter
 }
 
-// String returns "milliseconds.counter".
+// String formats a stamp as "milliseconds.counter", which Parse reads.
 func (s Stamp) String() string { return fmt.Sprintf("%d.%d", s.Milli, s.Counter) }
 
-// Parse reads what String wrote; anything else is the zero stamp.
+// Parse reads the format of String. It returns the zero stamp for invalid input.
 func Parse(text string) Stamp {
 	milli, counter, ok := strings.Cut(text, ".")
 	m, err := strconv.ParseInt(milli, 10, 64)
@@ -46,44 +47,47 @@
 	return Stamp{Milli: m, Counter: uint32(c)}
 }
 
-// maxAhead bounds how far a received stamp may run ahead, in milliseconds, so
-// that one wrong clock does not drag all others along.
+// maxAhead is how far a received stamp may be ahead of the local wall clock, in
+// milliseconds, so that one wrong clock does not move all others ahead.
 const maxAhead = 60_000
 
-// Clock hands out stamps.
+// Clock issues stamps. It is safe for concurrent use.
 type Clock struct {
-	mu   sync.Mutex
-	time clock.Clock
-	last Stamp
+	mu     sync.Mutex
+	source clock.Clock
+	last   Stamp
 }
 
-// New returns a clock over a source of time.
-func New(c clock.Clock) *Clock { return &Clock{time: c} }
+// New returns a clock that reads the wall time from c.
+func New(c clock.Clock) *Clock { return &Clock{source: c} }
 
-// Now returns a stamp after all earlier ones.
+// Now returns a stamp later than all stamps issued or observed before.
 func (c *Clock) Now() Stamp {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.step(Stamp{})
+	return c.next(Stamp{})
 }
 
-// Observe takes a received stamp in; later stamps come after it.
+// Observe advances the clock past a received stamp, so that later stamps are
+// ordered after it. Stamps too far ahead of the wall clock (maxAhead) are ignored.
 func (c *Clock) Observe(s Stamp) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if s.Milli > c.time.Wall().UnixMilli()+maxAhead {
+	if s.Milli > c.source.Wall().UnixMilli()+maxAhead {
 		return
 	}
-	c.step(s)
+	c.next(s)
 }
 
-func (c *Clock) step(received Stamp) Stamp {
-	next := Stamp{Milli: c.time.Wall().UnixMilli()}
+// next returns the earliest stamp that is not before the wall clock and later than
+// both the last stamp and the received one. The caller holds mu.
+func (c *Clock) next(received Stamp) Stamp {
+	stamp := Stamp{Milli: c.source.Wall().UnixMilli()}
 	for _, s := range []Stamp{c.last, received} {
-		if !s.Less(next) {
-			next = Stamp{Milli: s.Milli, Counter: s.Counter + 1}
+		if !s.Less(stamp) {
+			stamp = Stamp{Milli: s.Milli, Counter: s.Counter + 1}
 		}
 	}
-	c.last = next
-	return next
+	c.last = stamp
+	return stamp
 }
--- a/modules/pack/pack.go
+++ b/modules/pack/pack.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package pack compresses messages that are sent to many boxes, once for all of
-// them.
+// Package pack compresses protobuf messages that are sent to many boxes, so that
+// they are compressed only once for all of them.
 package pack
 
 import (
@@ -14,11 +14,11 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// maxUnpacked bounds a message, in bytes, so that a damaged one can't fill the
-// memory.
+// maxUnpacked limits the decompressed size in bytes, so that a corrupted message
+// can't exhaust the memory.
 const maxUnpacked = 64 << 20
 
-// Pack returns a message in short.
+// Pack encodes a message and compresses it with DEFLATE.
 func Pack(m proto.Message) ([]byte, error) {
 	data, err := proto.Marshal(m)
 	if err != nil {
@@ -38,7 +38,7 @@
 	return out.Bytes(), nil
 }
 
-// Unpack reads what Pack returned.
+// Unpack decompresses and decodes the output of Pack into m.
 func Unpack(packed []byte, m proto.Message) error {
 	r := flate.NewReader(bytes.NewReader(packed))
 	data, err := io.ReadAll(io.LimitReader(r, maxUnpacked+1))
--- a/modules/pack/pack_test.go
+++ b/modules/pack/pack_test.go
@@ -19,13 +19,13 @@
 		t.Fatal(err)
 	}
 	if len(packed) > proto.Size(m)/10 {
-		t.Fatalf("%d bytes of %d", len(packed), proto.Size(m))
+		t.Fatalf("packed size is %d bytes of %d, want at most a tenth", len(packed), proto.Size(m))
 	}
 	got := &statev1.RoutingTable{}
 	if err := Unpack(packed, got); err != nil || !proto.Equal(m, got) {
-		t.Fatalf("%v, %v", got, err)
+		t.Fatalf("Unpack() = %v, %v, want the packed message", got, err)
 	}
 	if Unpack(packed[:len(packed)/2], got) == nil {
-		t.Fatal("a message that is cut off was read")
+		t.Fatal("a truncated message was unpacked without an error")
 	}
 }
--- a/modules/periodic/periodic.go
+++ b/modules/periodic/periodic.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package periodic runs background work at an interval.
+// Package periodic runs background work at intervals.
 package periodic
 
 import (
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Run does something at once and then at every interval, until the context
-// ends. Work that takes longer than the interval is not run twice at a time.
+// Run calls do at once and then at every interval until the context is cancelled.
+// Calls never overlap: when one takes longer than the interval, ticks are skipped.
 func Run(ctx context.Context, interval time.Duration, do func(ctx context.Context)) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -24,7 +24,7 @@
 	}
 }
 
-// Sleep waits for a time, or until the context ends.
+// Sleep returns after d, or earlier when the context is cancelled.
 func Sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
