--- a/modules/raft/core_replicate.go
+++ b/modules/raft/core_replicate.go
@@ -269,8 +269,8 @@
 	return &betweenv1.Identity{Incarnation: c.incarnation, Members: c.memberList()}
 }
 
-// HandleInstall answers an install request, which replaces the state of this box
-// by a leader's snapshot unless it is behind what is committed here.
+// HandleInstall answers an install request. The leader's snapshot replaces the
+// state of this box, unless this box has already committed all that it covers.
 func (c *Core) HandleInstall(r *betweenv1.InstallRequest, now time.Duration) *betweenv1.InstallResponse {
 	resp := &betweenv1.InstallResponse{Term: c.term, Incarnation: c.incarnation}
 	if r.GetTerm() < c.term {
