--- a/modules/wal/wal_test.go
+++ b/modules/wal/wal_test.go
@@ -122,7 +122,7 @@
 			must(t, l.Append([]byte("first"), []byte("second"), []byte("third")))
 			d.Flip("log-00000000", fromEnd)
 			if _, _, err := Open(d.Crash(0)); !IsErrCorrupted(err) {
-				t.Errorf("got %v, want ErrDamaged", err)
+				t.Errorf("got %v, want ErrCorrupted", err)
 			}
 		})
 	}
