--- a/routers/caller/bench_test.go
+++ b/routers/caller/bench_test.go
@@ -21,6 +21,7 @@
 	"havenwinch.dev/havenwinch/tests/single"
 )
 
+// percentile sorts the list in place and returns its p-quantile, zero for no values.
 func percentile(list []time.Duration, p float64) time.Duration {
 	if len(list) == 0 {
 		return 0
@@ -29,8 +30,9 @@
 	return list[int(p*float64(len(list)-1))]
 }
 
-// timed sends a body and reads the answer.
-func timed(client *http.Client, url, body string) (time.Duration, int, error) {
+// timedRequest sends a chat request, reads the whole answer and returns the time taken
+// and the status.
+func timedRequest(client *http.Client, url, body string) (time.Duration, int, error) {
 	begin := time.Now()
 	req, err := http.NewRequest("POST", url, strings.NewReader(body))
 	if err != nil {
@@ -47,10 +49,10 @@
 	return time.Since(begin), resp.StatusCode, err
 }
 
-// BenchmarkOverhead compares a request through the box, with its reservation
-// and bill in a ledger, with the same request sent to the engine directly, in
-// turns. The engine answers without delay; the ledger's disk is in memory, so
-// the cost of a sync is shown apart by BenchmarkLedgerOnDisk.
+// BenchmarkOverhead alternates between a request through the box, with its reservation
+// and bill in a ledger, and the same request sent directly to the engine, and reports
+// the difference. The engine answers without delay. The ledger's disk is in memory;
+// BenchmarkLedgerOnDisk measures the cost of a sync.
 func BenchmarkOverhead(b *testing.B) {
 	instant := standin.Options{Slots: 64, PrefillPerSecond: 1 << 30, CacheBlocks: 64}
 	for _, mode := range []string{"whole", "streamed"} {
@@ -62,12 +64,12 @@
 			body := chat("hello", 16, fmt.Sprintf(`,"stream":%v`, mode == "streamed"))
 			var through, straight []time.Duration
 			for b.Loop() {
-				d, status, err := timed(client, s.URL+chatPath, body)
+				d, status, err := timedRequest(client, s.URL+chatPath, body)
 				if err != nil || status != 200 {
 					b.Fatal(status, err)
 				}
 				through = append(through, d)
-				if d, _, err = timed(client, direct.URL+chatPath, body); err != nil {
+				if d, _, err = timedRequest(client, direct.URL+chatPath, body); err != nil {
 					b.Fatal(err)
 				}
 				straight = append(straight, d)
@@ -81,7 +83,7 @@
 	}
 }
 
-// BenchmarkThroughput sends whole requests from many callers at once.
+// BenchmarkThroughput sends requests that aren't streamed from many callers at once.
 func BenchmarkThroughput(b *testing.B) {
 	instant := standin.Options{Slots: 512, PrefillPerSecond: 1 << 30, CacheBlocks: 64}
 	s := single.New(b, single.Options{Tokens: 1 << 50, Engines: []standin.Options{instant, instant}})
@@ -92,7 +94,7 @@
 	begin := time.Now()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			if _, status, err := timed(client, s.URL+chatPath, body); err != nil || status != 200 {
+			if _, status, err := timedRequest(client, s.URL+chatPath, body); err != nil || status != 200 {
 				b.Error(status, err)
 				return
 			}
@@ -101,8 +103,8 @@
 	b.ReportMetric(float64(b.N)/time.Since(begin).Seconds(), "requests/s")
 }
 
-// BenchmarkStreamedEvents is the cost of one event of a long stream, engine and
-// caller included.
+// BenchmarkStreamedEvents measures the cost of one event of a long stream, including
+// the engine and the caller.
 func BenchmarkStreamedEvents(b *testing.B) {
 	instant := standin.Options{Slots: 64, PrefillPerSecond: 1 << 30, CacheBlocks: 64}
 	const words = 5000
@@ -112,7 +114,7 @@
 	begin := time.Now()
 	n := 0
 	for b.Loop() {
-		if _, status, err := timed(client, s.URL+chatPath, body); err != nil || status != 200 {
+		if _, status, err := timedRequest(client, s.URL+chatPath, body); err != nil || status != 200 {
 			b.Fatal(status, err)
 		}
 		n++
@@ -120,9 +122,9 @@
 	b.ReportMetric(float64(time.Since(begin).Nanoseconds())/float64(n*words), "ns/event")
 }
 
-// BenchmarkMemoryGrowth sends 180,000 requests and compares the heap after
-// 20,000, 100,000 and 180,000. Records stay for the key window, which is short
-// here, so that a leak shows and the window does not.
+// BenchmarkMemoryGrowth sends 180,000 requests and reports the heap after 20,000,
+// 100,000 and 180,000 of them. Records are kept for the key window; it is short here
+// so that growth means a leak rather than retained records.
 func BenchmarkMemoryGrowth(b *testing.B) {
 	instant := standin.Options{Slots: 512, PrefillPerSecond: 1 << 30, CacheBlocks: 64, Keep: time.Second}
 	for b.Loop() {
@@ -136,7 +138,7 @@
 					defer wg.Done()
 					client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 					for i := range n / 16 {
-						_, _, _ = timed(client, s.URL+chatPath, chat(fmt.Sprint("hello ", w, i), 2, ""))
+						_, _, _ = timedRequest(client, s.URL+chatPath, chat(fmt.Sprint("hello ", w, i), 2, ""))
 					}
 				}()
 			}
@@ -153,6 +155,7 @@
 	}
 }
 
+// heap returns the bytes on the heap after a garbage collection.
 func heap() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -161,8 +164,8 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkOverload offers a multiple of what two engines can carry, a third
-// of it interactive, and counts the answers that come whole and in time.
+// BenchmarkOverload offers a multiple of the capacity of two engines, a third of it
+// interactive, and counts the complete answers that arrive in time.
 func BenchmarkOverload(b *testing.B) {
 	engine := standin.Options{Slots: 8, PrefillPerSecond: 100_000, TokenTime: 5 * time.Millisecond, CacheBlocks: 64}
 	const tokens, wait, run = 40, 2 * time.Second, 8 * time.Second
@@ -179,6 +182,8 @@
 	}
 }
 
+// offer sends requests at a constant rate, regardless of how many are in progress,
+// and reports the outcomes.
 func offer(b *testing.B, s *single.Single, perSecond float64, run, wait time.Duration, tokens int) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -194,7 +199,7 @@
 		go func() {
 			defer wg.Done()
 			sent := time.Now()
-			status := offerOne(client, s.URL, chat(fmt.Sprint("overload ", n), tokens, ""), interactive, wait)
+			status := sendOffered(client, s.URL, chat(fmt.Sprint("overload ", n), tokens, ""), interactive, wait)
 			took := time.Since(sent)
 			mu.Lock()
 			defer mu.Unlock()
@@ -232,7 +237,8 @@
 	b.ReportMetric(float64(percentile(urgent, 0.95).Microseconds())/1000, "interactive-ms-p95")
 }
 
-func offerOne(client *http.Client, url, body string, interactive bool, wait time.Duration) int {
+// sendOffered sends one request and returns the status, 0 if there was no answer.
+func sendOffered(client *http.Client, url, body string, interactive bool, wait time.Duration) int {
 	req, err := http.NewRequest("POST", url+chatPath, bytes.NewReader([]byte(body)))
 	if err != nil {
 		return 0
--- a/routers/caller/caller.go
+++ b/routers/caller/caller.go
@@ -1,12 +1,12 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package caller is the HTTP interface for callers: the OpenAI-compatible
-// shape for models, plain services under a path of their own, and questions
-// about earlier requests. docs/API.md describes it.
+// Package caller implements the HTTP API for callers: OpenAI-compatible chat
+// completions, plain services below /services/, and the status, the answer and
+// the cancellation of earlier requests. docs/API.md describes it.
 //
-// The HTTP library uses a request's buffers again once its handler has
-// returned. So everything that outlives the handler is copied here first.
+// fasthttp reuses a request's buffers once its handler has returned, so
+// everything that outlives the handler is copied first.
 package caller
 
 import (
@@ -39,11 +39,11 @@
 
 	maxHeader   = 16 << 10
 	idleTimeout = 2 * time.Minute
-	// writeTimeout bounds one answer; streams may be long.
+	// writeTimeout is 0, which means no limit, because streams may be long.
 	writeTimeout = 0
 )
 
-// Dispatcher serves requests.
+// Dispatcher admits requests, runs them on targets and finds earlier ones.
 type Dispatcher interface {
 	Admit(ctx context.Context, r *dispatch.Request) (*dispatch.Admission, *dispatch.Refusal)
 	Serve(ctx context.Context, a *dispatch.Admission, sink dispatch.Sink) (dispatch.Result, *dispatch.Refusal)
@@ -53,54 +53,57 @@
 	Cancel(ctx context.Context, record *statev1.RequestRecord) *dispatch.Refusal
 }
 
-// Configuration is the box's copy of the configuration.
+// Configuration reads the box's copy of the configuration.
 type Configuration interface {
-	Read(look func(st *state.State))
+	Read(read func(st *state.State))
 	Value(name string) int
 }
 
-// Counter counts outcomes.
+// Counter counts finished requests by organisation and outcome.
 type Counter interface {
 	Done(organisation, outcome string)
 }
 
-// Options configure the interface.
+// Options configure a Caller.
 type Options struct {
 	Dispatcher Dispatcher
 	Config     Configuration
 	Counter    Counter
 	Recorder   *timeline.Recorder
 	Logger     *slog.Logger
-	// Work is the context under which requests run; it ends with the box.
-	Work    context.Context
+	// Work is the context in which requests run; it is cancelled when the box
+	// stops.
+	Work context.Context
+	// MaxBody is the largest accepted body, in bytes.
 	MaxBody int
+	// MaxWait is the latest deadline that a request can get.
 	MaxWait time.Duration
-	// ReadTimeout bounds the reading of a request.
+	// ReadTimeout bounds the time to read one request.
 	ReadTimeout time.Duration
 	NewID       func() string
 	Now         func() time.Time
 }
 
-// Caller is the interface's server.
+// Caller is the HTTP server for callers.
 type Caller struct {
 	opts    Options
 	server  *fasthttp.Server
 	running sync.WaitGroup
 }
 
-// New returns the interface.
+// New returns a Caller with its routes registered. It opens no listener.
 func New(opts Options) *Caller {
 	c := &Caller{opts: opts}
 	r := router.New()
-	r.POST("/v1/chat/completions", c.guard(c.chat))
-	r.GET("/v1/models", c.guard(c.models))
-	r.GET("/v1/requests/{key}", c.guard(c.status))
-	r.DELETE("/v1/requests/{key}", c.guard(c.cancel))
-	r.GET("/v1/requests/{key}/answer", c.guard(c.answer))
-	r.ANY("/services/{service}/{path:*}", c.guard(c.service))
+	r.POST("/v1/chat/completions", c.requireKey(c.chat))
+	r.GET("/v1/models", c.requireKey(c.models))
+	r.GET("/v1/requests/{key}", c.requireKey(c.status))
+	r.DELETE("/v1/requests/{key}", c.requireKey(c.cancel))
+	r.GET("/v1/requests/{key}/answer", c.requireKey(c.answer))
+	r.ANY("/services/{service}/{path:*}", c.requireKey(c.service))
 	r.NotFound = c.notFound
 	r.MethodNotAllowed = c.notFound
-	r.PanicHandler = c.panicked
+	r.PanicHandler = c.handlePanic
 	c.server = &fasthttp.Server{
 		Handler:                      r.Handler,
 		Name:                         "havenwinch",
@@ -112,58 +115,60 @@
 		NoDefaultServerHeader:        true,
 		DisablePreParseMultipartForm: true,
 		CloseOnShutdown:              true,
-		ErrorHandler:                 c.badConnection,
-		Logger:                       quiet{},
+		ErrorHandler:                 c.handleReadError,
+		Logger:                       discardLogger{},
 	}
 	return c
 }
 
-// quiet drops the library's own log lines, which may hold callers' data.
-type quiet struct{}
+// discardLogger drops fasthttp's log lines, which may contain callers' data.
+type discardLogger struct{}
 
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
-// Server returns the HTTP server.
+// Server returns the underlying HTTP server, which the box serves and shuts down.
 func (c *Caller) Server() *fasthttp.Server { return c.server }
 
-// Wait returns once no request is in progress.
+// Wait blocks until no request is in progress.
 func (c *Caller) Wait() { c.running.Wait() }
 
-// session is one request on its way through the interface.
-type session struct {
+// exchange is one HTTP request with its ID and, once authenticated, its group and
+// organisation.
+type exchange struct {
 	ctx          *fasthttp.RequestCtx
 	id           string
 	group        *statev1.Group
 	organisation string
 }
 
-// guard admits holders of an access key and gives each request its name.
-func (c *Caller) guard(handle func(s *session)) fasthttp.RequestHandler {
+// requireKey assigns the request its ID and authenticates its access key before it
+// calls handle.
+func (c *Caller) requireKey(handle func(x *exchange)) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
-		s := &session{ctx: ctx, id: c.opts.NewID()}
-		ctx.Response.Header.Set(headerRequestID, s.id)
-		if refusal := c.authorise(s); refusal != nil {
-			c.refuse(s, refusal)
+		x := &exchange{ctx: ctx, id: c.opts.NewID()}
+		ctx.Response.Header.Set(headerRequestID, x.id)
+		if refusal := c.authenticate(x); refusal != nil {
+			c.refuse(x, refusal)
 			return
 		}
 		c.running.Add(1)
 		defer c.running.Done()
-		handle(s)
+		handle(x)
 	}
 }
 
-// refuse writes a refusal as JSON with its status.
-func (c *Caller) refuse(s *session, refusal *dispatch.Refusal) {
-	c.opts.Counter.Done(s.organisation, string(refusal.Kind))
-	c.opts.Recorder.Record("refused", s.id, string(refusal.Kind)+", run: "+string(refusal.Run))
-	c.opts.Logger.Info("request refused", "request", s.id, "group", s.group.GetName(), "kind", refusal.Kind, "run", refusal.Run)
+// refuse counts, records and logs a refusal and answers with it as JSON.
+func (c *Caller) refuse(x *exchange, refusal *dispatch.Refusal) {
+	c.opts.Counter.Done(x.organisation, string(refusal.Kind))
+	c.opts.Recorder.Record("refused", x.id, string(refusal.Kind)+", run: "+string(refusal.Run))
+	c.opts.Logger.Info("request refused", "request", x.id, "group", x.group.GetName(), "kind", refusal.Kind, "run", refusal.Run)
 	if refusal.RetryAfter > 0 {
-		s.ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.Itoa(seconds(refusal.RetryAfter)))
+		x.ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.Itoa(ceilSeconds(refusal.RetryAfter)))
 	}
-	writeJSON(s.ctx, statusOf(refusal.Kind), errorBody(s.id, refusal))
+	writeJSON(x.ctx, statusOf(refusal.Kind), errorBody(x.id, refusal))
 }
 
-func seconds(d time.Duration) int { return int(math.Ceil(d.Seconds())) }
+func ceilSeconds(d time.Duration) int { return int(math.Ceil(d.Seconds())) }
 
 func errorBody(id string, r *dispatch.Refusal) structs.ErrorBody {
 	e := structs.Error{Kind: r.Kind, Message: r.Message, Run: r.Run, RequestID: id, RetryAfter: r.RetryAfter.Seconds(), Billed: r.Billed}
@@ -174,7 +179,7 @@
 	return structs.ErrorBody{Error: e}
 }
 
-// statusOf returns the HTTP status of a kind of refusal.
+// statusOf returns the HTTP status for a kind of refusal.
 func statusOf(kind structs.Kind) int {
 	switch kind {
 	case structs.KindNoKey, structs.KindWrongKey:
@@ -207,25 +212,25 @@
 }
 
 func (c *Caller) notFound(ctx *fasthttp.RequestCtx) {
-	s := &session{ctx: ctx, id: c.opts.NewID()}
-	c.refuse(s, &dispatch.Refusal{Kind: structs.KindNotFound, Run: structs.RunNo, Message: "there is nothing at this path for this method: see docs/API.md"})
+	x := &exchange{ctx: ctx, id: c.opts.NewID()}
+	c.refuse(x, &dispatch.Refusal{Kind: structs.KindNotFound, Run: structs.RunNo, Message: "there is nothing at this path for this method: see docs/API.md"})
 }
 
-func (c *Caller) panicked(ctx *fasthttp.RequestCtx, reason any) {
-	s := &session{ctx: ctx, id: c.opts.NewID()}
-	c.opts.Logger.Error("a handler failed", "request", s.id, "reason", reason)
-	c.refuse(s, &dispatch.Refusal{Kind: structs.KindInternal, Run: structs.RunUnknown, Message: "the box failed: ask again with the same idempotency key, and tell the operators the request id"})
+func (c *Caller) handlePanic(ctx *fasthttp.RequestCtx, reason any) {
+	x := &exchange{ctx: ctx, id: c.opts.NewID()}
+	c.opts.Logger.Error("handler panicked", "request", x.id, "reason", reason)
+	c.refuse(x, &dispatch.Refusal{Kind: structs.KindInternal, Run: structs.RunUnknown, Message: "the box failed: ask again with the same idempotency key, and tell the operators the request id"})
 }
 
-// badConnection answers what never became a request: headers over the limit, a
-// request sent too slowly or only in part.
-func (c *Caller) badConnection(ctx *fasthttp.RequestCtx, err error) {
-	s := &session{ctx: ctx, id: c.opts.NewID()}
+// handleReadError answers a connection on which no complete request could be read:
+// headers over the limit, or a request sent too slowly or only in part.
+func (c *Caller) handleReadError(ctx *fasthttp.RequestCtx, err error) {
+	x := &exchange{ctx: ctx, id: c.opts.NewID()}
 	var small *fasthttp.ErrSmallBuffer
 	switch {
 	case errors.As(err, &small):
-		c.refuse(s, &dispatch.Refusal{Kind: structs.KindMalformed, Run: structs.RunNo, Message: "the headers are larger than " + strconv.Itoa(maxHeader) + " bytes: send fewer"})
+		c.refuse(x, &dispatch.Refusal{Kind: structs.KindMalformed, Run: structs.RunNo, Message: "the headers are larger than " + strconv.Itoa(maxHeader) + " bytes: send fewer"})
 	default:
-		c.refuse(s, &dispatch.Refusal{Kind: structs.KindMalformed, Run: structs.RunNo, Message: "the request could not be read whole: send it again"})
+		c.refuse(x, &dispatch.Refusal{Kind: structs.KindMalformed, Run: structs.RunNo, Message: "the request could not be read whole: send it again"})
 	}
 }
--- a/routers/caller/caller_test.go
+++ b/routers/caller/caller_test.go
@@ -25,13 +25,13 @@
 
 const chatPath = "/v1/chat/completions"
 
-// answer is what the tests read of any answer.
+// answer holds the parts of an answer that the tests check.
 type answer struct {
 	status int
 	header http.Header
 	body   string
 	Error  structs.Error `json:"error"`
-	// Choices and Billing are set in an answer in one piece.
+	// Choices and Billing are set if the answer isn't streamed.
 	Choices []struct {
 		Message structs.Message `json:"message"`
 	} `json:"choices"`
@@ -41,7 +41,8 @@
 	} `json:"havenwinch"`
 }
 
-// send sends a request with headers as "Name: value", whose answer must end well.
+// send sends a request with headers given as "Name: value" and fails the test if the
+// body of the answer can't be read to its end.
 func send(t *testing.T, s *single.Single, method, path, body string, headers ...string) answer {
 	t.Helper()
 	a, err := sendAny(t, s, method, path, body, headers...)
@@ -51,7 +52,7 @@
 	return a
 }
 
-// sendAny is send for an answer that may break off; the error says how.
+// sendAny is like send but returns the error of reading the body.
 func sendAny(t *testing.T, s *single.Single, method, path, body string, headers ...string) (answer, error) {
 	t.Helper()
 	req, err := http.NewRequest(method, s.URL+path, strings.NewReader(body))
@@ -85,8 +86,8 @@
 	return fmt.Sprintf(`{"model":"m1","messages":[{"role":"user","content":%q}],"max_tokens":%d%s}`, prompt, maxTokens, extra)
 }
 
-// TestBadInput says for each kind of bad input which answer it gets, and that
-// nothing is reserved or changed by it.
+// TestBadInput checks the answer to each kind of invalid request, and that none of them
+// reserves tokens or reaches an engine.
 func TestBadInput(t *testing.T) {
 	good := chat("hello", 5, "")
 	tests := map[string]struct {
@@ -96,35 +97,35 @@
 		kind               structs.Kind
 		field              string
 	}{
-		"no key":                 {"POST", chatPath, good, []string{"Authorization: "}, 401, structs.KindNoKey, ""},
-		"wrong key":              {"POST", chatPath, good, []string{"Authorization: Bearer nobody"}, 401, structs.KindWrongKey, ""},
-		"unknown model":          {"POST", chatPath, strings.Replace(good, "m1", "m9", 1), nil, 404, structs.KindUnknownModel, "model"},
-		"model not allowed":      {"POST", chatPath, strings.Replace(good, "m1", "m2", 1), nil, 403, structs.KindModelNotAllowed, "model"},
-		"no model":               {"POST", chatPath, `{"messages":[]}`, nil, 400, structs.KindInvalidField, "model"},
-		"malformed JSON":         {"POST", chatPath, `{"model":`, nil, 400, structs.KindMalformed, ""},
-		"JSON of another type":   {"POST", chatPath, `[1]`, nil, 400, structs.KindMalformed, ""},
-		"no messages":            {"POST", chatPath, `{"model":"m1","messages":[]}`, nil, 400, structs.KindInvalidField, "messages"},
-		"negative limit":         {"POST", chatPath, chat("x", -1, ""), nil, 400, structs.KindInvalidField, "max_tokens"},
-		"limit of zero":          {"POST", chatPath, chat("x", 0, ""), nil, 400, structs.KindInvalidField, "max_tokens"},
-		"huge limit":             {"POST", chatPath, chat("x", 1<<40, ""), nil, 400, structs.KindInvalidField, "max_tokens"},
-		"limit beyond integers":  {"POST", chatPath, `{"model":"m1","max_tokens":1e99,"messages":[]}`, nil, 400, structs.KindMalformed, ""},
-		"two answers":            {"POST", chatPath, chat("x", 5, `,"n":2`), nil, 400, structs.KindInvalidField, "n"},
-		"body too large":         {"POST", chatPath, chat(strings.Repeat("x", 2<<20), 5, ""), nil, 413, structs.KindTooLarge, ""},
-		"deadline in the past":   {"POST", chatPath, good, []string{"Havenwinch-Deadline: 2020-01-01T00:00:00Z"}, 400, structs.KindDeadlinePast, "Havenwinch-Deadline"},
-		"deadline that is none":  {"POST", chatPath, good, []string{"Havenwinch-Deadline: soon"}, 400, structs.KindInvalidField, "Havenwinch-Deadline"},
-		"no time to wait":        {"POST", chatPath, good, []string{"Prefer: wait=0"}, 400, structs.KindInvalidField, "Prefer"},
-		"urgency out of range":   {"POST", chatPath, good, []string{"Priority: u=9"}, 400, structs.KindInvalidField, "Priority"},
-		"priority not allowed":   {"POST", chatPath, good, []string{"Authorization: Bearer " + single.BatchKey, "Priority: u=1"}, 403, structs.KindPriority, ""},
-		"repeatable maybe":       {"POST", chatPath, good, []string{"Havenwinch-Repeatable: maybe"}, 400, structs.KindInvalidField, "Havenwinch-Repeatable"},
-		"key too long":           {"POST", chatPath, good, []string{"Idempotency-Key: " + strings.Repeat("k", 300)}, 400, structs.KindInvalidField, "Idempotency-Key"},
-		"key with a space":       {"POST", chatPath, good, []string{"Idempotency-Key: a b"}, 400, structs.KindInvalidField, "Idempotency-Key"},
-		"key of the system":      {"POST", chatPath, good, []string{"Idempotency-Key: anonymous:1"}, 400, structs.KindInvalidField, "Idempotency-Key"},
-		"more than the budget":   {"POST", chatPath, chat("x", 20000, ""), nil, 402, structs.KindBudgetExhausted, ""},
-		"service not allowed":    {"GET", "/services/other/x", "", nil, 403, structs.KindServiceNotAllowed, ""},
-		"no server of a service": {"GET", "/services/portal/x", "", nil, 503, structs.KindNoTarget, ""},
-		"unknown path":           {"GET", "/v2/models", "", nil, 404, structs.KindNotFound, ""},
-		"unknown request":        {"GET", "/v1/requests/never", "", nil, 404, structs.KindNotFound, ""},
-		"bad event id":           {"GET", "/v1/requests/x/answer", "", []string{"Last-Event-ID: -1"}, 400, structs.KindInvalidField, "Last-Event-ID"},
+		"no key":                        {"POST", chatPath, good, []string{"Authorization: "}, 401, structs.KindNoKey, ""},
+		"wrong key":                     {"POST", chatPath, good, []string{"Authorization: Bearer nobody"}, 401, structs.KindWrongKey, ""},
+		"unknown model":                 {"POST", chatPath, strings.Replace(good, "m1", "m9", 1), nil, 404, structs.KindUnknownModel, "model"},
+		"model not allowed":             {"POST", chatPath, strings.Replace(good, "m1", "m2", 1), nil, 403, structs.KindModelNotAllowed, "model"},
+		"no model":                      {"POST", chatPath, `{"messages":[]}`, nil, 400, structs.KindInvalidField, "model"},
+		"malformed JSON":                {"POST", chatPath, `{"model":`, nil, 400, structs.KindMalformed, ""},
+		"JSON array":                    {"POST", chatPath, `[1]`, nil, 400, structs.KindMalformed, ""},
+		"no messages":                   {"POST", chatPath, `{"model":"m1","messages":[]}`, nil, 400, structs.KindInvalidField, "messages"},
+		"negative limit":                {"POST", chatPath, chat("x", -1, ""), nil, 400, structs.KindInvalidField, "max_tokens"},
+		"limit of zero":                 {"POST", chatPath, chat("x", 0, ""), nil, 400, structs.KindInvalidField, "max_tokens"},
+		"huge limit":                    {"POST", chatPath, chat("x", 1<<40, ""), nil, 400, structs.KindInvalidField, "max_tokens"},
+		"limit beyond integers":         {"POST", chatPath, `{"model":"m1","max_tokens":1e99,"messages":[]}`, nil, 400, structs.KindMalformed, ""},
+		"several answers":               {"POST", chatPath, chat("x", 5, `,"n":2`), nil, 400, structs.KindInvalidField, "n"},
+		"body too large":                {"POST", chatPath, chat(strings.Repeat("x", 2<<20), 5, ""), nil, 413, structs.KindTooLarge, ""},
+		"deadline in the past":          {"POST", chatPath, good, []string{"Havenwinch-Deadline: 2020-01-01T00:00:00Z"}, 400, structs.KindDeadlinePast, "Havenwinch-Deadline"},
+		"malformed deadline":            {"POST", chatPath, good, []string{"Havenwinch-Deadline: soon"}, 400, structs.KindInvalidField, "Havenwinch-Deadline"},
+		"wait of zero":                  {"POST", chatPath, good, []string{"Prefer: wait=0"}, 400, structs.KindInvalidField, "Prefer"},
+		"urgency out of range":          {"POST", chatPath, good, []string{"Priority: u=9"}, 400, structs.KindInvalidField, "Priority"},
+		"priority not allowed":          {"POST", chatPath, good, []string{"Authorization: Bearer " + single.BatchKey, "Priority: u=1"}, 403, structs.KindPriority, ""},
+		"repeatable neither yes nor no": {"POST", chatPath, good, []string{"Havenwinch-Repeatable: maybe"}, 400, structs.KindInvalidField, "Havenwinch-Repeatable"},
+		"key too long":                  {"POST", chatPath, good, []string{"Idempotency-Key: " + strings.Repeat("k", 300)}, 400, structs.KindInvalidField, "Idempotency-Key"},
+		"key with a space":              {"POST", chatPath, good, []string{"Idempotency-Key: a b"}, 400, structs.KindInvalidField, "Idempotency-Key"},
+		"key with reserved prefix":      {"POST", chatPath, good, []string{"Idempotency-Key: anonymous:1"}, 400, structs.KindInvalidField, "Idempotency-Key"},
+		"more than the budget":          {"POST", chatPath, chat("x", 20000, ""), nil, 402, structs.KindBudgetExhausted, ""},
+		"service not allowed":           {"GET", "/services/other/x", "", nil, 403, structs.KindServiceNotAllowed, ""},
+		"service without server":        {"GET", "/services/portal/x", "", nil, 503, structs.KindNoTarget, ""},
+		"unknown path":                  {"GET", "/v2/models", "", nil, 404, structs.KindNotFound, ""},
+		"unknown request":               {"GET", "/v1/requests/never", "", nil, 404, structs.KindNotFound, ""},
+		"bad event id":                  {"GET", "/v1/requests/x/answer", "", []string{"Last-Event-ID: -1"}, 400, structs.KindInvalidField, "Last-Event-ID"},
 	}
 	s := single.New(t, single.Options{Tokens: 10_000})
 	for name, test := range tests {
@@ -139,7 +140,7 @@
 		})
 	}
 	if stats := s.Keeper.Stats(); stats.Open != 0 {
-		t.Errorf("%d reservations are left", stats.Open)
+		t.Errorf("%d reservations remain open", stats.Open)
 	}
 	if received, _, _ := s.Engines[0].Counts(); received != 0 {
 		t.Errorf("%d requests reached the engine", received)
@@ -160,8 +161,8 @@
 	}
 }
 
-// TestSlowAndHalfSentRequests sends a part of a request and then nothing more.
-func TestSlowAndHalfSentRequests(t *testing.T) {
+// TestIncompleteRequestsTimeOut sends only a part of a request.
+func TestIncompleteRequestsTimeOut(t *testing.T) {
 	head := "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + single.Key + "\r\nContent-Length: 500\r\n"
 	tests := map[string]string{
 		"half of the headers": head[:60],
@@ -179,20 +180,21 @@
 			if _, err := io.WriteString(conn, part); err != nil {
 				t.Fatal(err)
 			}
-			// The box must end the connection on its own.
+			// The box has to close the connection after the read timeout.
 			data, err := io.ReadAll(conn)
 			if err != nil || strings.Contains(string(data), " 200 ") {
 				t.Errorf("got %q %v", data, err)
 			}
 			if received, _, _ := s.Engines[0].Counts(); received != 0 || s.Keeper.Stats().Records != 0 {
-				t.Error("a part of a request was taken for one")
+				t.Error("an incomplete request was processed")
 			}
 		})
 	}
 }
 
-// TestOneKeyOneBill sends the same key in every way that callers do.
-func TestOneKeyOneBill(t *testing.T) {
+// TestIdempotencyKeyIsBilledOnce repeats a key with the same body, with another body,
+// and after the engine has dropped the answer.
+func TestIdempotencyKeyIsBilledOnce(t *testing.T) {
 	s := single.New(t, single.Options{Tokens: 10_000})
 	body := chat("make a list", 6, "")
 	first := send(t, s, "POST", chatPath, body, "Idempotency-Key: list-1")
@@ -201,11 +203,11 @@
 		t.Fatalf("got %s and %s", first.body, again.body)
 	}
 	if !again.Billing.Replayed || again.Billing.Billed != first.Billing.Billed {
-		t.Errorf("the second answer is billed %s", again.body)
+		t.Errorf("the repeated request was billed again: %s", again.body)
 	}
 	other := send(t, s, "POST", chatPath, chat("make another list", 6, ""), "Idempotency-Key: list-1")
 	if other.status != 422 || other.Error.Kind != structs.KindKeyConflict || other.Error.Run != structs.RunNo {
-		t.Errorf("another body under the key got %s", other.body)
+		t.Errorf("another body with the same key got %s", other.body)
 	}
 	if _, served, _ := s.Engines[0].Counts(); served != 1 {
 		t.Errorf("the engine ran %d times", served)
@@ -220,18 +222,20 @@
 	s.Engines[0].Forget(runID("north/a", "list-1"))
 	lost := send(t, s, "POST", chatPath, body, "Idempotency-Key: list-1")
 	if lost.status != 410 || lost.Error.Kind != structs.KindAnswerGone || lost.Error.Run != structs.RunYes {
-		t.Errorf("an answer that is no longer kept got %s", lost.body)
+		t.Errorf("a request whose answer was dropped got %s", lost.body)
 	}
 }
 
+// runID returns the ID under which an engine knows the first run of a request.
 func runID(group, key string) string {
 	return digest.Of([]byte(group), []byte(key), []byte("1"))[:32]
 }
 
-// TestCrossedAnswers sends many requests at once, whole and streamed, of which
-// some callers leave, and compares each answer with its own prompt's. Under
-// the race detector it also shows that no buffer outlives its request.
-func TestCrossedAnswers(t *testing.T) {
+// TestConcurrentAnswersAreNotMixedUp sends many requests at once, streamed and not,
+// some of whose callers disconnect, and compares each answer with the one its prompt
+// must get. With the race detector it also shows that no buffer is used after its
+// request.
+func TestConcurrentAnswersAreNotMixedUp(t *testing.T) {
 	s := single.New(t, single.Options{Tokens: 10_000_000, Engines: []standin.Options{single.DefaultEngine, single.DefaultEngine}})
 	want := func(prompt string) string {
 		e := standin.New(standin.Options{Slots: 1, PrefillPerSecond: 1 << 30})
@@ -256,16 +260,16 @@
 					t.Errorf("stream %d got %s", i, got.body)
 				}
 			default:
-				leave(t, s, chat(prompt, 8, `,"stream":true`))
+				disconnectMidStream(t, s, chat(prompt, 8, `,"stream":true`))
 			}
 		}()
 	}
 	wg.Wait()
-	s.Eventually("all is settled", func() bool { return s.Keeper.Stats().Open == 0 })
+	s.Eventually("all reservations are settled", func() bool { return s.Keeper.Stats().Open == 0 })
 }
 
-// leave reads one event of a stream and goes.
-func leave(t *testing.T, s *single.Single, body string, headers ...string) {
+// disconnectMidStream reads the first line of a stream and closes the connection.
+func disconnectMidStream(t *testing.T, s *single.Single, body string, headers ...string) {
 	req, err := http.NewRequest("POST", s.URL+chatPath, strings.NewReader(body))
 	if err != nil {
 		t.Error(err)
@@ -310,7 +314,8 @@
 	return text.String()
 }
 
-// TestPlainService covers what reaches a server of a plain service.
+// TestPlainService checks how often a call reaches the servers of a plain service when
+// it is repeated or a server closes the connection.
 func TestPlainService(t *testing.T) {
 	tests := map[string]struct {
 		method  string
@@ -324,9 +329,9 @@
 		"read":                                {"GET", nil, 1, 0, 200, "", 1},
 		"read, first server closes":           {"GET", nil, 1, 1, 200, "", 2},
 		"write":                               {"POST", nil, 1, 0, 200, "", 1},
-		"write, server closes without a word": {"POST", nil, 1, 1, 502, structs.RunUnknown, 1},
-		"write under a key, sent twice":       {"POST", []string{"Idempotency-Key: k"}, 2, 0, 410, structs.RunYes, 1},
-		"write under a key, server closes":    {"POST", []string{"Idempotency-Key: k"}, 2, 1, 502, structs.RunUnknown, 1},
+		"write, server closes without answer": {"POST", nil, 1, 1, 502, structs.RunUnknown, 1},
+		"write with a key, sent twice":        {"POST", []string{"Idempotency-Key: k"}, 2, 0, 410, structs.RunYes, 1},
+		"write with a key, server closes":     {"POST", []string{"Idempotency-Key: k"}, 2, 1, 502, structs.RunUnknown, 1},
 		"write that may be repeated":          {"POST", []string{"Havenwinch-Repeatable: yes"}, 1, 1, 200, "", 2},
 		"read that may not be repeated":       {"GET", []string{"Havenwinch-Repeatable: no"}, 1, 1, 502, structs.RunUnknown, 1},
 	}
@@ -334,7 +339,7 @@
 		t.Run(name, func(t *testing.T) {
 			one, two := service.New("one", 0), service.New("two", 0)
 			s := single.New(t, single.Options{Tokens: 100, Services: []http.Handler{one, two}})
-			// Whichever server is asked first closes.
+			// The server that gets the call first closes the connection.
 			one.CloseOnceWith(two)
 			one.CloseNext(test.close)
 			var got answer
@@ -349,8 +354,8 @@
 	}
 }
 
-// TestQueuedStreamShowsSignsOfLife keeps a stream waiting for the only place.
-func TestQueuedStreamShowsSignsOfLife(t *testing.T) {
+// TestQueuedStreamGetsKeepAlives sends two streams to an engine with a single slot.
+func TestQueuedStreamGetsKeepAlives(t *testing.T) {
 	slow := single.DefaultEngine
 	slow.TokenTime = 5 * time.Millisecond
 	s := single.New(t, single.Options{Tokens: 10_000, Engines: []standin.Options{slow}})
@@ -366,43 +371,43 @@
 		}()
 	}
 	wg.Wait()
-	waited := 0
+	queued := 0
 	for _, body := range bodies {
 		if strings.HasPrefix(body, ": waiting, ") {
-			waited++
+			queued++
 		}
 		if len(strings.Fields(streamText(t, body))) != 40 || !strings.HasSuffix(body, "data: [DONE]\n\n") {
-			t.Errorf("a stream is not whole: %s", body)
+			t.Errorf("a stream is incomplete: %s", body)
 		}
 	}
-	if waited != 1 {
-		t.Errorf("%d of two streams showed signs of life while they waited", waited)
+	if queued != 1 {
+		t.Errorf("%d of two streams got keep-alives while queued, want 1", queued)
 	}
 }
 
-// TestServicesAnswerWhileEnginesAreFull fills the only engine and its queue, and
-// calls a plain service meanwhile.
+// TestServicesAnswerWhileEnginesAreFull calls a plain service while the only engine and
+// its queue are full.
 func TestServicesAnswerWhileEnginesAreFull(t *testing.T) {
 	slow := single.DefaultEngine
 	slow.TokenTime = 20 * time.Millisecond
 	s := single.New(t, single.Options{Tokens: 100_000, Engines: []standin.Options{slow}, Services: []http.Handler{service.New("one", 0)}})
 	s.Command("rollout target-slots = 1")
 	var wg sync.WaitGroup
-	var working atomic.Int64
+	var inProgress atomic.Int64
 	const requests = 6
-	working.Store(requests)
+	inProgress.Store(requests)
 	for range requests {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			send(t, s, "POST", chatPath, chat("work", 20, ""))
-			working.Add(-1)
+			inProgress.Add(-1)
 		}()
 	}
-	s.Eventually("requests wait", func() bool { return s.Dispatcher.Status().Queued > 2 })
+	s.Eventually("requests are queued", func() bool { return s.Dispatcher.Status().Queued > 2 })
 	got := send(t, s, "GET", "/services/portal/search", "")
-	if got.status != 200 || working.Load() == 0 {
-		t.Errorf("got %d while %d requests were under way: %s", got.status, working.Load(), got.body)
+	if got.status != 200 || inProgress.Load() == 0 {
+		t.Errorf("got %d while %d requests were in progress: %s", got.status, inProgress.Load(), got.body)
 	}
 	wg.Wait()
 }
@@ -442,10 +447,10 @@
 	}
 }
 
-// TestCallerLeaves goes while the answer is under way. Without a key the run is
-// ended and billed for what it used; with one it goes on, and the answer is
-// kept.
-func TestCallerLeaves(t *testing.T) {
+// TestCallerDisconnects closes the connection during the answer. Without a key the run
+// is cancelled and billed for what it used; with a key it continues, and the answer is
+// stored.
+func TestCallerDisconnects(t *testing.T) {
 	slow := single.DefaultEngine
 	slow.TokenTime = 5 * time.Millisecond
 	const words = 100
@@ -455,41 +460,41 @@
 	}{
 		"streamed, without a key": {true, ""},
 		"streamed, with a key":    {true, "Idempotency-Key: k1"},
-		"whole, without a key":    {false, ""},
-		"whole, with a key":       {false, "Idempotency-Key: k1"},
+		"JSON, without a key":     {false, ""},
+		"JSON, with a key":        {false, "Idempotency-Key: k1"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			s := single.New(t, single.Options{Tokens: 1000, Engines: []standin.Options{slow}})
 			if test.stream {
-				leave(t, s, chat("hi", words, `,"stream":true`), test.key)
+				disconnectMidStream(t, s, chat("hi", words, `,"stream":true`), test.key)
 			} else {
-				leaveWhole(t, s, chat("hi", words, ""), test.key)
+				disconnectBeforeAnswer(t, s, chat("hi", words, ""), test.key)
 			}
 			s.Eventually("the bill is reported", func() bool {
 				return s.Cell("show groups where group = north/a", "requests") == "1" && s.Keeper.Stats().Open == 0
 			})
-			_, _, made := s.Engines[0].Counts()
+			_, _, generated := s.Engines[0].Counts()
 			billed := s.Cell("show groups where group = north/a", "billed")
-			if want := fmt.Sprint(made + uint64(len("user\nhi\n")/4+4)); billed != want {
-				t.Errorf("billed %s, the engine worked %s", billed, want)
+			if want := fmt.Sprint(generated + uint64(len("user\nhi\n")/4+4)); billed != want {
+				t.Errorf("billed %s, the engine used %s", billed, want)
 			}
 			if test.key == "" {
-				if made == words {
-					t.Error("the run went on to its end")
+				if generated == words {
+					t.Error("the run was not cancelled")
 				}
 				return
 			}
 			if rest := send(t, s, "GET", "/v1/requests/k1/answer", ""); len(strings.Fields(streamText(t, rest.body))) != words {
-				t.Errorf("the kept answer is %s", rest.body)
+				t.Errorf("the stored answer is %s", rest.body)
 			}
 		})
 	}
 }
 
-// leaveWhole sends a request for an answer in one piece and goes once the
-// engine works on it.
-func leaveWhole(t *testing.T, s *single.Single, body, header string) {
+// disconnectBeforeAnswer sends a request that isn't streamed and closes the connection
+// once the engine generates tokens.
+func disconnectBeforeAnswer(t *testing.T, s *single.Single, body, header string) {
 	t.Helper()
 	conn, err := net.Dial("tcp", strings.TrimPrefix(s.URL, "http://"))
 	if err != nil {
@@ -500,8 +505,8 @@
 		header += "\r\n"
 	}
 	fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\n%sContent-Length: %d\r\n\r\n%s", chatPath, single.Key, header, len(body), body)
-	s.Eventually("the engine works", func() bool {
-		_, _, made := s.Engines[0].Counts()
-		return made > 0
+	s.Eventually("the engine generates tokens", func() bool {
+		_, _, generated := s.Engines[0].Counts()
+		return generated > 0
 	})
 }
--- a/routers/caller/chat.go
+++ b/routers/caller/chat.go
@@ -19,66 +19,68 @@
 )
 
 // chat serves POST /v1/chat/completions.
-func (c *Caller) chat(s *session) {
-	r, stream, refusal := c.parseChat(s)
+func (c *Caller) chat(x *exchange) {
+	r, stream, refusal := c.parseChat(x)
 	if refusal != nil {
-		c.refuse(s, refusal)
+		c.refuse(x, refusal)
 		return
 	}
-	c.opts.Recorder.Record("arrived", s.id, fmt.Sprintf("group %s, model %s, up to %d tokens", s.group.GetName(), r.Model, r.Bound))
+	c.opts.Recorder.Record("arrived", x.id, fmt.Sprintf("group %s, model %s, up to %d tokens", x.group.GetName(), r.Model, r.Bound))
 	a, refusal := c.opts.Dispatcher.Admit(c.opts.Work, r)
 	if refusal != nil {
-		c.refuse(s, refusal)
+		c.refuse(x, refusal)
 		return
 	}
 	if stream {
-		c.streamed(s, a)
+		c.serveStream(x, a)
 		return
 	}
-	c.whole(s, a, r)
+	c.serveJSON(x, a, r)
 }
 
-// streamed answers with server-sent events.
-func (c *Caller) streamed(s *session, a *dispatch.Admission) {
-	id, organisation := s.id, s.organisation
-	s.ctx.Response.Header.Set(fasthttp.HeaderCacheControl, "no-store")
-	c.stream(s.ctx, func(w *bufio.Writer) error {
+// serveStream runs a request and answers with server-sent events.
+func (c *Caller) serveStream(x *exchange, a *dispatch.Admission) {
+	id, organisation := x.id, x.organisation
+	x.ctx.Response.Header.Set(fasthttp.HeaderCacheControl, "no-store")
+	c.stream(x.ctx, func(w *bufio.Writer) error {
 		sink := &streamSink{w: w}
 		result, refusal := c.opts.Dispatcher.Serve(c.opts.Work, a, sink)
 		if refusal != nil {
-			c.ended(id, organisation, string(refusal.Kind))
+			c.recordOutcome(id, organisation, string(refusal.Kind))
 			return sink.refuse(errorBody(id, refusal))
 		}
-		c.ended(id, organisation, "done")
+		c.recordOutcome(id, organisation, "done")
 		return sink.end(id, a.Request.Model, result)
 	})
 }
 
-func (c *Caller) ended(id, organisation, outcome string) {
+// recordOutcome counts, records and logs how a request ended.
+func (c *Caller) recordOutcome(id, organisation, outcome string) {
 	c.opts.Counter.Done(organisation, outcome)
 	c.opts.Recorder.Record("answered", id, outcome)
 	c.opts.Logger.Info("request ended", "request", id, "organisation", organisation, "outcome", outcome)
 }
 
-// streamSink writes events to a caller.
+// streamSink writes an answer to a caller as server-sent events.
 type streamSink struct {
 	w *bufio.Writer
-	// begun says that the caller has a part of the answer.
-	begun bool
+	// hasSent is true once the caller has received a part of the answer.
+	hasSent bool
 }
 
-// KeepAlive implements dispatch.Sink with a comment, which clients skip.
+// KeepAlive implements dispatch.Sink with an SSE comment, which clients ignore.
 func (k *streamSink) KeepAlive(note string) error {
 	fmt.Fprintf(k.w, ": %s\n\n", note)
 	return k.w.Flush()
 }
 
-// Event implements dispatch.Sink.
+// Event implements dispatch.Sink. It drops an event that carries only the usage: the
+// usage is sent with the bill by end.
 func (k *streamSink) Event(e engine.Event) error {
 	if e.Usage != nil && e.Finish == "" {
 		return nil
 	}
-	k.begun = true
+	k.hasSent = true
 	writeEvent(k.w, e.Sequence, e.Data)
 	return k.w.Flush()
 }
@@ -91,24 +93,24 @@
 	_, _ = w.WriteString("\n\n")
 }
 
-// billing is the last event of an answer, with what it cost.
-type billing struct {
-	Object     string          `json:"object"`
-	Model      string          `json:"model"`
-	Choices    []wholeChoice   `json:"choices"`
-	Usage      structs.Usage   `json:"usage"`
-	Havenwinch billingFraction `json:"havenwinch"`
+// billingChunk is the last event of a stream. It carries the usage and the bill.
+type billingChunk struct {
+	Object     string             `json:"object"`
+	Model      string             `json:"model"`
+	Choices    []completionChoice `json:"choices"`
+	Usage      structs.Usage      `json:"usage"`
+	Havenwinch billingInfo        `json:"havenwinch"`
 }
 
-type billingFraction struct {
+type billingInfo struct {
 	RequestID  string `json:"request_id"`
 	Billed     uint64 `json:"billed"`
 	WrittenOff uint64 `json:"written_off,omitempty"`
 	Replayed   bool   `json:"replayed,omitempty"`
 }
 
-func billed(id string, result dispatch.Result) billingFraction {
-	return billingFraction{RequestID: id, Billed: result.Billed, WrittenOff: result.WrittenOff, Replayed: result.Replayed}
+func billingOf(id string, result dispatch.Result) billingInfo {
+	return billingInfo{RequestID: id, Billed: result.Billed, WrittenOff: result.WrittenOff, Replayed: result.Replayed}
 }
 
 func usageOf(u *engine.Usage) structs.Usage {
@@ -116,12 +118,12 @@
 }
 
 func (k *streamSink) end(id, model string, result dispatch.Result) error {
-	data, err := json.Marshal(billing{
+	data, err := json.Marshal(billingChunk{
 		Object:     "chat.completion.chunk",
 		Model:      model,
-		Choices:    []wholeChoice{},
+		Choices:    []completionChoice{},
 		Usage:      usageOf(result.Usage),
-		Havenwinch: billed(id, result),
+		Havenwinch: billingOf(id, result),
 	})
 	if err != nil {
 		return errors.WithStack(err)
@@ -130,61 +132,62 @@
 	return k.w.Flush()
 }
 
-// refuse ends a stream with an error in place of its end mark. It returns errNotWhole
-// when the caller has a part of the answer.
+// refuse ends a stream with an error event instead of [DONE]. It returns
+// errIncomplete if the caller has already received a part of the answer.
 func (k *streamSink) refuse(body structs.ErrorBody) error {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return errors.WithStack(err)
 	}
 	fmt.Fprintf(k.w, "event: error\ndata: %s\n\n", data)
-	if err := k.w.Flush(); err != nil || !k.begun {
+	if err := k.w.Flush(); err != nil || !k.hasSent {
 		return err
 	}
-	return errNotWhole
+	return errIncomplete
 }
 
-// wholeAnswer is the body of an answer in one piece.
-type wholeAnswer struct {
-	ID         string          `json:"id"`
-	Object     string          `json:"object"`
-	Created    int64           `json:"created"`
-	Model      string          `json:"model"`
-	Choices    []wholeChoice   `json:"choices"`
-	Usage      structs.Usage   `json:"usage"`
-	Havenwinch billingFraction `json:"havenwinch"`
+// completion is the body of an answer that isn't streamed.
+type completion struct {
+	ID         string             `json:"id"`
+	Object     string             `json:"object"`
+	Created    int64              `json:"created"`
+	Model      string             `json:"model"`
+	Choices    []completionChoice `json:"choices"`
+	Usage      structs.Usage      `json:"usage"`
+	Havenwinch billingInfo        `json:"havenwinch"`
 }
 
-type wholeChoice struct {
+type completionChoice struct {
 	Index        int             `json:"index"`
 	Message      structs.Message `json:"message"`
 	FinishReason string          `json:"finish_reason"`
 }
 
-func (c *Caller) whole(s *session, a *dispatch.Admission, r *dispatch.Request) {
-	sink := &dispatch.BufferedSink{Disconnected: goneCheck(s.ctx.Conn())}
+// serveJSON runs a request and answers with one JSON object.
+func (c *Caller) serveJSON(x *exchange, a *dispatch.Admission, r *dispatch.Request) {
+	sink := &dispatch.BufferedSink{Disconnected: disconnectCheck(x.ctx.Conn())}
 	result, refusal := c.opts.Dispatcher.Serve(c.opts.Work, a, sink)
 	if refusal != nil {
-		c.refuse(s, refusal)
+		c.refuse(x, refusal)
 		return
 	}
-	c.ended(s.id, s.organisation, "done")
-	s.ctx.Response.Header.Set(headerBilled, strconv.FormatUint(result.Billed, 10))
+	c.recordOutcome(x.id, x.organisation, "done")
+	x.ctx.Response.Header.Set(headerBilled, strconv.FormatUint(result.Billed, 10))
 	if result.Replayed {
-		s.ctx.Response.Header.Set(headerReplayed, "true")
+		x.ctx.Response.Header.Set(headerReplayed, "true")
 	}
-	writeJSON(s.ctx, fasthttp.StatusOK, wholeAnswer{
-		ID:         "chatcmpl-" + s.id,
+	writeJSON(x.ctx, fasthttp.StatusOK, completion{
+		ID:         "chatcmpl-" + x.id,
 		Object:     "chat.completion",
 		Created:    c.opts.Now().Unix(),
 		Model:      r.Model,
-		Choices:    []wholeChoice{{Message: structs.Message{Role: "assistant", Content: contentOf(sink.Events)}, FinishReason: result.Finish}},
+		Choices:    []completionChoice{{Message: structs.Message{Role: "assistant", Content: contentOf(sink.Events)}, FinishReason: result.Finish}},
 		Usage:      usageOf(result.Usage),
-		Havenwinch: billed(s.id, result),
+		Havenwinch: billingOf(x.id, result),
 	})
 }
 
-// contentOf joins the text of an answer's events.
+// contentOf concatenates the text of an answer's events.
 func contentOf(events []engine.Event) string {
 	var b strings.Builder
 	for _, e := range events {
--- a/routers/caller/gone.go
+++ b/routers/caller/disconnect.go
@@ -11,10 +11,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// goneCheck returns a function that tells whether the peer of a connection has
-// closed it, without taking any bytes. The HTTP library does not look at a
-// connection while its handler works.
-func goneCheck(conn net.Conn) func() bool {
+// disconnectCheck returns a function that reports whether the peer of a connection
+// has closed it, without consuming any bytes. It is needed because fasthttp doesn't
+// watch the connection while a handler runs.
+func disconnectCheck(conn net.Conn) func() bool {
 	if secure, ok := conn.(*tls.Conn); ok {
 		conn = secure.NetConn()
 	}
@@ -27,12 +27,12 @@
 		return func() bool { return false }
 	}
 	return func() bool {
-		gone := false
+		closed := false
 		err := raw.Control(func(fd uintptr) {
-			var one [1]byte
-			n, _, err := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-			gone = n == 0 && err == nil || err == unix.ECONNRESET
+			var buf [1]byte
+			n, _, err := unix.Recvfrom(int(fd), buf[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+			closed = n == 0 && err == nil || err == unix.ECONNRESET
 		})
-		return gone || err != nil
+		return closed || err != nil
 	}
 }
--- a/routers/caller/faults_test.go
+++ b/routers/caller/faults_test.go
@@ -19,42 +19,42 @@
 	"havenwinch.dev/havenwinch/tests/single"
 )
 
-// TestEngineFaults brings about what an engine can do wrong. It says what the
-// caller is told, how often the request was read and run over both engines,
-// and that the bill is at most what was run. All runs are of one request with
-// a key; the fault hits whichever engine is asked first.
+// TestEngineFaults injects every fault of an engine. It checks the answer to the
+// caller, how often both engines together read and ran the request, and that all
+// generated tokens are either billed or written off. Each case sends one request with
+// an idempotency key; the fault hits whichever engine gets it first.
 func TestEngineFaults(t *testing.T) {
 	const all = "w1 w2 w3 w4 w5 w6 w7 w8"
 	tests := map[string]struct {
-		fault    standin.Fault
-		stream   bool
-		once     bool
-		status   int
-		kind     structs.Kind
-		run      structs.Run
-		received int
-		served   int
+		fault         standin.Fault
+		stream        bool
+		notRepeatable bool
+		status        int
+		kind          structs.Kind
+		run           structs.Run
+		received      int
+		served        int
 	}{
-		"runs and closes, whole":             {standin.FaultMute, false, false, 200, "", "", 1, 1},
-		"runs and closes, not repeatable":    {standin.FaultMute, true, true, 200, "", "", 1, 1},
-		"closes unread, whole":               {standin.FaultClose, false, false, 200, "", "", 2, 1},
-		"closes unread, streamed":            {standin.FaultClose, true, false, 200, "", "", 2, 1},
-		"closes unread, not repeatable":      {standin.FaultClose, false, true, 200, "", "", 2, 1},
-		"error before running":               {standin.FaultError, false, false, 200, "", "", 2, 1},
-		"error, not repeatable":              {standin.FaultError, false, true, 200, "", "", 2, 1},
-		"truncated, whole":                   {standin.FaultTruncate, false, false, 200, "", "", 1, 1},
-		"truncated, streamed":                {standin.FaultTruncate, true, false, 200, "", "", 1, 1},
-		"truncated, not repeatable":          {standin.FaultTruncate, true, true, 200, "", "", 1, 1},
-		"forgotten, whole":                   {standin.FaultForget, false, false, 200, "", "", 2, 2},
-		"forgotten, streamed":                {standin.FaultForget, true, false, 200, structs.KindTruncated, structs.RunYes, 1, 1},
-		"forgotten, whole, not repeatable":   {standin.FaultForget, false, true, 502, structs.KindTargetFailed, structs.RunYes, 1, 1},
-		"event of another run, whole":        {standin.FaultCross, false, false, 200, "", "", 1, 1},
-		"event of another run, streamed":     {standin.FaultCross, true, false, 200, "", "", 1, 1},
-		"event sent twice":                   {standin.FaultRepeat, true, false, 200, "", "", 1, 1},
-		"never answers":                      {standin.FaultSilent, false, false, 429, structs.KindDeadline, structs.RunNo, 1, 0},
-		"never answers, not repeatable":      {standin.FaultSilent, false, true, 429, structs.KindDeadline, structs.RunNo, 1, 0},
-		"no fault":                           {standin.FaultNone, true, false, 200, "", "", 1, 1},
-		"no fault, whole and not repeatable": {standin.FaultNone, false, true, 200, "", "", 1, 1},
+		"runs and closes, JSON":                  {standin.FaultMute, false, false, 200, "", "", 1, 1},
+		"runs and closes, not repeatable":        {standin.FaultMute, true, true, 200, "", "", 1, 1},
+		"closes without running, JSON":           {standin.FaultClose, false, false, 200, "", "", 2, 1},
+		"closes without running, streamed":       {standin.FaultClose, true, false, 200, "", "", 2, 1},
+		"closes without running, not repeatable": {standin.FaultClose, false, true, 200, "", "", 2, 1},
+		"error before running":                   {standin.FaultError, false, false, 200, "", "", 2, 1},
+		"error, not repeatable":                  {standin.FaultError, false, true, 200, "", "", 2, 1},
+		"truncated, JSON":                        {standin.FaultTruncate, false, false, 200, "", "", 1, 1},
+		"truncated, streamed":                    {standin.FaultTruncate, true, false, 200, "", "", 1, 1},
+		"truncated, not repeatable":              {standin.FaultTruncate, true, true, 200, "", "", 1, 1},
+		"forgotten, JSON":                        {standin.FaultForget, false, false, 200, "", "", 2, 2},
+		"forgotten, streamed":                    {standin.FaultForget, true, false, 200, structs.KindTruncated, structs.RunYes, 1, 1},
+		"forgotten, JSON, not repeatable":        {standin.FaultForget, false, true, 502, structs.KindTargetFailed, structs.RunYes, 1, 1},
+		"event of another run, JSON":             {standin.FaultCross, false, false, 200, "", "", 1, 1},
+		"event of another run, streamed":         {standin.FaultCross, true, false, 200, "", "", 1, 1},
+		"event sent twice":                       {standin.FaultRepeat, true, false, 200, "", "", 1, 1},
+		"never answers":                          {standin.FaultSilent, false, false, 429, structs.KindDeadline, structs.RunNo, 1, 0},
+		"never answers, not repeatable":          {standin.FaultSilent, false, true, 429, structs.KindDeadline, structs.RunNo, 1, 0},
+		"no fault":                               {standin.FaultNone, true, false, 200, "", "", 1, 1},
+		"no fault, JSON and not repeatable":      {standin.FaultNone, false, true, 200, "", "", 1, 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -63,36 +63,37 @@
 			s.Engines[0].ShareFaults(s.Engines[1])
 			s.Engines[0].SetFault(test.fault, 1)
 			headers := []string{"Idempotency-Key: key-1", "Prefer: wait=2"}
-			if test.once {
+			if test.notRepeatable {
 				headers = append(headers, "Havenwinch-Repeatable: no")
 			}
 			got, err := sendAny(t, s, "POST", chatPath, chat("hi", 8, fmt.Sprintf(`,"stream":%v`, test.stream)), headers...)
-			// A stream that is not whole must not end its body well.
+			// The body of an incomplete stream must not be terminated properly.
 			if broken := test.stream && test.kind != ""; broken != errors.Is(err, io.ErrUnexpectedEOF) || !broken && err != nil {
-				t.Errorf("the answer ended with %v", err)
+				t.Errorf("reading the answer returned %v", err)
 			}
 			checkFault(t, s, got, test.stream, test.status, test.kind, test.run)
-			received, served := counts(s)
+			received, served := totalCounts(s)
 			if received != test.received || served != test.served {
-				t.Errorf("read %d times and run %d times, want %d and %d", received, served, test.received, test.served)
+				t.Errorf("received %d times and run %d times, want %d and %d", received, served, test.received, test.served)
 			}
-			if test.status == 200 && test.kind == "" && !strings.HasPrefix(stripped(t, got, test.stream), all) {
-				t.Errorf("the answer is not whole: %s", got.body)
+			if test.status == 200 && test.kind == "" && !strings.HasPrefix(wordNumbers(t, got, test.stream), all) {
+				t.Errorf("the answer is incomplete: %s", got.body)
 			}
 			r := s.Record("north/a", "key-1")
 			if r.GetState() != statev1.RequestState_REQUEST_STATE_DONE && r.GetState() != statev1.RequestState_REQUEST_STATE_RELEASED {
-				t.Errorf("the request is left %v", r.GetState())
+				t.Errorf("the request is left in state %v", r.GetState())
 			}
 			_, _, first := s.Engines[0].Counts()
 			_, _, second := s.Engines[1].Counts()
-			if paid := r.GetBilled() + r.GetWrittenOff(); paid < first+second {
-				t.Errorf("%d tokens are billed or written off, the engines made %d", paid, first+second)
+			if accounted := r.GetBilled() + r.GetWrittenOff(); accounted < first+second {
+				t.Errorf("%d tokens are billed or written off, the engines generated %d", accounted, first+second)
 			}
 		})
 	}
 }
 
-func counts(s *single.Single) (received, served int) {
+// totalCounts returns how many requests all engines received and ran.
+func totalCounts(s *single.Single) (received, served int) {
 	for _, e := range s.Engines {
 		r, v, _ := e.Counts()
 		received, served = received+r, served+v
@@ -115,9 +116,9 @@
 	}
 }
 
-// stripped returns an answer's words without their second halves, which depend
+// wordNumbers returns an answer's words without their second halves, which depend
 // on the prompt.
-func stripped(t *testing.T, a answer, stream bool) string {
+func wordNumbers(t *testing.T, a answer, stream bool) string {
 	text := ""
 	if stream {
 		text = streamText(t, a.body)
@@ -132,7 +133,7 @@
 	return strings.Join(words, " ")
 }
 
-// cutWriter breaks a connection off after some bytes of a body.
+// cutWriter aborts the connection after the given number of bytes of the body.
 type cutWriter struct {
 	http.ResponseWriter
 	left int
@@ -149,8 +150,8 @@
 	return n, err
 }
 
-// The rest of a kept answer that breaks off must not look like its end either.
-func TestAKeptAnswerThatBreaksOff(t *testing.T) {
+// A stored answer that breaks off must not look complete to a caller that resumes it.
+func TestInterruptedStoredAnswerIsNotTerminated(t *testing.T) {
 	var cut atomic.Bool
 	s := single.New(t, single.Options{Tokens: 1000, Wrap: func(h http.Handler, _ func()) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -164,6 +165,6 @@
 	cut.Store(true)
 	rest, err := sendAny(t, s, "GET", "/v1/requests/k1/answer", "", "Last-Event-ID: 4")
 	if !errors.Is(err, io.ErrUnexpectedEOF) || !strings.Contains(rest.body, string(structs.KindTruncated)) {
-		t.Fatalf("the answer ended with %v: %s", err, rest.body)
+		t.Fatalf("reading the answer returned %v: %s", err, rest.body)
 	}
 }
--- a/routers/caller/parse.go
+++ b/routers/caller/parse.go
@@ -24,72 +24,73 @@
 )
 
 const (
-	headerKey        = "Idempotency-Key"
-	headerPrefer     = "Prefer"
-	headerPriority   = "Priority"
-	headerDeadline   = "Havenwinch-Deadline"
-	headerRepeatable = "Havenwinch-Repeatable"
+	headerIdempotencyKey = "Idempotency-Key"
+	headerPrefer         = "Prefer"
+	headerPriority       = "Priority"
+	headerDeadline       = "Havenwinch-Deadline"
+	headerRepeatable     = "Havenwinch-Repeatable"
 
-	maxKey = 200
-	// messageTokens is the bound of what an engine adds around a message, and
-	// requestTokens around all of them.
-	messageTokens = 8
-	requestTokens = 16
-	// bytesPerToken is the usual length of a token, for estimates only; bounds
-	// count one token a byte, the most that byte-level vocabularies make.
+	maxKeyBytes = 200
+	// tokensPerMessage bounds the tokens that an engine's chat template adds around
+	// each message, and tokensPerRequest those it adds around all of them.
+	tokensPerMessage = 8
+	tokensPerRequest = 16
+	// bytesPerToken is the usual length of a token and serves estimates only. Bounds
+	// count one token per byte, the most that a byte-level vocabulary can produce.
 	bytesPerToken = 4
-	// lowestInteractive is the highest urgency value of RFC 9218 that counts
+	// maxInteractiveUrgency is the highest urgency value of RFC 9218 that counts
 	// as interactive; 3 is that RFC's default.
-	lowestInteractive = 3
-	maxUrgency        = 7
+	maxInteractiveUrgency = 3
+	maxUrgency            = 7
 
-	defaultInteractive = 10 * time.Minute
+	// defaultInteractiveWait is the deadline of an interactive request that sets none.
+	defaultInteractiveWait = 10 * time.Minute
 )
 
-// fieldError names the field of a request that is wrong.
+// fieldError names the invalid field of a request.
 type fieldError struct {
 	name string
 }
 
 func (e *fieldError) Error() string { return "field " + e.name }
 
-func badField(name, format string, args ...any) *dispatch.Refusal {
+func invalidField(name, format string, args ...any) *dispatch.Refusal {
 	return &dispatch.Refusal{Kind: structs.KindInvalidField, Run: structs.RunNo, Message: name + " " + fmt.Sprintf(format, args...), Cause: &fieldError{name: name}}
 }
 
-// authorise finds the group of an access key. Only digests are looked up and
-// compared.
-func (c *Caller) authorise(s *session) *dispatch.Refusal {
-	header := string(s.ctx.Request.Header.Peek(fasthttp.HeaderAuthorization))
+// authenticate sets the group and the organisation of the request's access key. Only
+// digests of keys are looked up and compared.
+func (c *Caller) authenticate(x *exchange) *dispatch.Refusal {
+	header := string(x.ctx.Request.Header.Peek(fasthttp.HeaderAuthorization))
 	key, ok := strings.CutPrefix(header, "Bearer ")
 	if !ok || key == "" {
-		s.ctx.Response.Header.Set(fasthttp.HeaderWWWAuthenticate, "Bearer")
+		x.ctx.Response.Header.Set(fasthttp.HeaderWWWAuthenticate, "Bearer")
 		return &dispatch.Refusal{Kind: structs.KindNoKey, Run: structs.RunNo, Message: "send your group's access key as Authorization: Bearer"}
 	}
 	wanted := digest.Of([]byte(key))
 	c.opts.Config.Read(func(st *state.State) {
 		if row := st.Keys[wanted]; row != nil && digest.Equal(row.GetDigest(), wanted) {
-			s.group = st.Groups[row.GetGroup()]
+			x.group = st.Groups[row.GetGroup()]
 		}
 	})
-	if s.group == nil {
+	if x.group == nil {
 		return &dispatch.Refusal{Kind: structs.KindWrongKey, Run: structs.RunNo, Message: "this access key belongs to no group: ask an operator for one"}
 	}
-	s.organisation = state.OrganisationOf(s.group.GetName())
+	x.organisation = state.OrganisationOf(x.group.GetName())
 	return nil
 }
 
-// parseHeaders reads what all kinds of requests have in their headers.
-func (c *Caller) parseHeaders(s *session, r *dispatch.Request) *dispatch.Refusal {
-	h := &s.ctx.Request.Header
-	r.ID, r.Group, r.Organisation = s.id, s.group, s.organisation
-	r.Key = string(h.Peek(headerKey))
-	if refusal := checkKey(r.Key); refusal != nil {
+// parseHeaders reads the headers that all kinds of requests share.
+func (c *Caller) parseHeaders(x *exchange, r *dispatch.Request) *dispatch.Refusal {
+	h := &x.ctx.Request.Header
+	r.ID, r.Group, r.Organisation = x.id, x.group, x.organisation
+	r.Key = string(h.Peek(headerIdempotencyKey))
+	if refusal := validateIdempotencyKey(r.Key); refusal != nil {
 		return refusal
 	}
 	if r.Key == "" {
 		r.Anonymous = true
-		r.Key = keeper.AnonymousPrefix + s.id
+		r.Key = keeper.AnonymousPrefix + x.id
 	}
 	if refusal := c.parsePriority(string(h.Peek(headerPriority)), r); refusal != nil {
 		return refusal
@@ -100,23 +101,23 @@
 	return c.parseDeadline(string(h.Peek(headerDeadline)), string(h.Peek(headerPrefer)), r)
 }
 
-func checkKey(key string) *dispatch.Refusal {
-	if len(key) > maxKey {
-		return badField(headerKey, "is longer than %d bytes: use a UUID of version 7", maxKey)
+func validateIdempotencyKey(key string) *dispatch.Refusal {
+	if len(key) > maxKeyBytes {
+		return invalidField(headerIdempotencyKey, "is longer than %d bytes: use a UUID of version 7", maxKeyBytes)
 	}
 	if strings.HasPrefix(key, keeper.AnonymousPrefix) {
-		return badField(headerKey, "must not begin with %q", keeper.AnonymousPrefix)
+		return invalidField(headerIdempotencyKey, "must not begin with %q", keeper.AnonymousPrefix)
 	}
 	for _, b := range []byte(key) {
 		if b <= ' ' || b > '~' {
-			return badField(headerKey, "may only hold visible ASCII characters: use a UUID of version 7")
+			return invalidField(headerIdempotencyKey, "may only hold visible ASCII characters: use a UUID of version 7")
 		}
 	}
 	return nil
 }
 
-// parsePriority reads the urgency of RFC 9218: up to 3 is interactive, above
-// it is batch. Without one a request has its group's priority.
+// parsePriority reads the urgency of RFC 9218: values up to 3 are interactive, higher
+// ones are batch. Without an urgency the request gets its group's priority.
 func (c *Caller) parsePriority(header string, r *dispatch.Request) *dispatch.Refusal {
 	r.Priority = r.Group.GetPriority()
 	for _, item := range strings.Split(header, ",") {
@@ -126,9 +127,9 @@
 		}
 		urgency, err := strconv.Atoi(value)
 		if err != nil || urgency < 0 || urgency > maxUrgency {
-			return badField(headerPriority, "must hold u=0 to u=%d, as in RFC 9218", maxUrgency)
+			return invalidField(headerPriority, "must hold u=0 to u=%d, as in RFC 9218", maxUrgency)
 		}
-		if urgency > lowestInteractive {
+		if urgency > maxInteractiveUrgency {
 			r.Priority = statev1.Priority_PRIORITY_BATCH
 			continue
 		}
@@ -148,15 +149,16 @@
 	case "no":
 		r.Repeatable = false
 	default:
-		return badField(headerRepeatable, "must be yes or no")
+		return invalidField(headerRepeatable, "must be yes or no")
 	}
 	return nil
 }
 
-// parseDeadline reads an absolute deadline, or a time to wait from RFC 7240.
+// parseDeadline reads an absolute deadline, or the wait preference of RFC 7240 in
+// seconds. MaxWait caps both.
 func (c *Caller) parseDeadline(deadline, prefer string, r *dispatch.Request) *dispatch.Refusal {
 	now := c.opts.Now()
-	r.Deadline = now.Add(min(defaultInteractive, c.opts.MaxWait))
+	r.Deadline = now.Add(min(defaultInteractiveWait, c.opts.MaxWait))
 	if !r.Interactive() {
 		r.Deadline = now.Add(c.opts.MaxWait)
 	}
@@ -167,7 +169,7 @@
 		}
 		wait, err := strconv.Atoi(value)
 		if err != nil || wait <= 0 {
-			return badField(headerPrefer, "must hold wait= and a number of seconds above zero")
+			return invalidField(headerPrefer, "must hold wait= and a number of seconds above zero")
 		}
 		r.Deadline = now.Add(min(time.Duration(wait)*time.Second, c.opts.MaxWait))
 	}
@@ -176,7 +178,7 @@
 	}
 	at, err := time.Parse(time.RFC3339, deadline)
 	if err != nil {
-		return badField(headerDeadline, "must be a time as in RFC 3339, as 2026-01-02T15:04:05Z")
+		return invalidField(headerDeadline, "must be a time as in RFC 3339, as 2026-01-02T15:04:05Z")
 	}
 	if !at.After(now) {
 		return &dispatch.Refusal{Kind: structs.KindDeadlinePast, Run: structs.RunNo, Message: headerDeadline + " has passed: send a later one", Cause: &fieldError{name: headerDeadline}}
@@ -188,16 +190,16 @@
 	return nil
 }
 
-// maxDrained is how much of a body over the limit is read before it is refused:
-// a caller that is still sending when the connection closes would lose the
-// answer.
-const maxDrained = 64 << 20
+// maxDiscardedBody is how many bytes of an oversized body are read and discarded
+// before the request is refused: a caller that is still sending when the connection
+// closes would lose the answer.
+const maxDiscardedBody = 64 << 20
 
-// readBody returns a copy of the body, which outlives the handler.
-func (c *Caller) readBody(s *session) ([]byte, *dispatch.Refusal) {
-	stream := s.ctx.RequestBodyStream()
+// readBody returns a copy of the body that stays valid after the handler returns.
+func (c *Caller) readBody(x *exchange) ([]byte, *dispatch.Refusal) {
+	stream := x.ctx.RequestBodyStream()
 	if stream == nil {
-		return append([]byte(nil), s.ctx.PostBody()...), nil
+		return append([]byte(nil), x.ctx.PostBody()...), nil
 	}
 	body, err := io.ReadAll(io.LimitReader(stream, int64(c.opts.MaxBody)+1))
 	if err != nil {
@@ -206,18 +208,19 @@
 	if len(body) <= c.opts.MaxBody {
 		return body, nil
 	}
-	_, _ = io.Copy(io.Discard, io.LimitReader(stream, maxDrained))
-	s.ctx.SetConnectionClose()
+	_, _ = io.Copy(io.Discard, io.LimitReader(stream, maxDiscardedBody))
+	x.ctx.SetConnectionClose()
 	return nil, &dispatch.Refusal{Kind: structs.KindTooLarge, Run: structs.RunNo, Message: "the body is larger than " + strconv.Itoa(c.opts.MaxBody) + " bytes: send less"}
 }
 
-// parseChat reads a chat request and prepares the body for the engine.
-func (c *Caller) parseChat(s *session) (*dispatch.Request, bool, *dispatch.Refusal) {
+// parseChat reads a chat request, prepares the body for the engine and returns
+// whether the caller asked for a stream.
+func (c *Caller) parseChat(x *exchange) (*dispatch.Request, bool, *dispatch.Refusal) {
 	r := &dispatch.Request{Repeatable: true}
-	if refusal := c.parseHeaders(s, r); refusal != nil {
+	if refusal := c.parseHeaders(x, r); refusal != nil {
 		return nil, false, refusal
 	}
-	body, refusal := c.readBody(s)
+	body, refusal := c.readBody(x)
 	if refusal != nil {
 		return nil, false, refusal
 	}
@@ -225,26 +228,26 @@
 	if err := json.Unmarshal(body, &chat); err != nil {
 		return nil, false, &dispatch.Refusal{Kind: structs.KindMalformed, Run: structs.RunNo, Message: "the body is no chat request (" + err.Error() + "): send JSON as docs/API.md shows"}
 	}
-	if refusal := c.checkModel(s.group, chat.Model); refusal != nil {
+	if refusal := c.validateModel(x.group, chat.Model); refusal != nil {
 		return nil, false, refusal
 	}
-	maxTokens, refusal := c.maxTokens(s.group, &chat)
+	maxTokens, refusal := c.maxTokens(x.group, &chat)
 	if refusal != nil {
 		return nil, false, refusal
 	}
 	if len(chat.Messages) == 0 {
-		return nil, false, badField("messages", "must hold at least one message")
+		return nil, false, invalidField("messages", "must hold at least one message")
 	}
 	if chat.N != nil && *chat.N != 1 {
-		return nil, false, badField("n", "must be 1: send a request for each answer")
+		return nil, false, invalidField("n", "must be 1: send a request for each answer")
 	}
 	prompt := promptOf(chat.Messages)
 	r.Model = chat.Model
 	r.MaxTokens = maxTokens
 	r.Prompt = len(prompt)/bytesPerToken + 1
-	r.Bound = uint64(len(prompt) + messageTokens*len(chat.Messages) + requestTokens + maxTokens)
+	r.Bound = uint64(len(prompt) + tokensPerMessage*len(chat.Messages) + tokensPerRequest + maxTokens)
 	r.Digest = digest.Of(body)
-	r.Scope = scopeOf(s.organisation)
+	r.Scope = cacheScopeOf(x.organisation)
 	r.Blocks = target.Blocks(r.Scope, r.Model, prompt)
 	encoded, err := engineBody(body, maxTokens)
 	if err != nil {
@@ -254,12 +257,13 @@
 	return r, chat.Stream, nil
 }
 
-// scopeDigits is the length of an organisation's name towards engines.
-const scopeDigits = 16
+// cacheScopeLength is the length of a cache scope in hexadecimal digits.
+const cacheScopeLength = 16
 
-// scopeOf keeps the prompt caches of organisations apart, without naming them.
-func scopeOf(organisation string) string {
-	return digest.Of([]byte("cache scope"), []byte(organisation))[:scopeDigits]
+// cacheScopeOf returns the scope that separates the prompt caches of organisations
+// on engines without disclosing an organisation's name.
+func cacheScopeOf(organisation string) string {
+	return digest.Of([]byte("cache scope"), []byte(organisation))[:cacheScopeLength]
 }
 
 func promptOf(messages []structs.Message) string {
@@ -273,22 +277,22 @@
 	return b.String()
 }
 
-func (c *Caller) checkModel(group *statev1.Group, model string) *dispatch.Refusal {
+func (c *Caller) validateModel(group *statev1.Group, model string) *dispatch.Refusal {
 	if model == "" {
-		return badField("model", "is missing: GET /v1/models lists those of your group")
+		return invalidField("model", "is missing: GET /v1/models lists those of your group")
 	}
 	for _, m := range group.GetModels() {
 		if m == model {
 			return nil
 		}
 	}
-	if c.knownModel(model) {
+	if c.isKnownModel(model) {
 		return &dispatch.Refusal{Kind: structs.KindModelNotAllowed, Run: structs.RunNo, Message: "this group may not call model " + strconv.Quote(model) + ": GET /v1/models lists those it may call", Cause: &fieldError{name: "model"}}
 	}
 	return &dispatch.Refusal{Kind: structs.KindUnknownModel, Run: structs.RunNo, Message: "there is no model " + strconv.Quote(model) + ": GET /v1/models lists those of your group", Cause: &fieldError{name: "model"}}
 }
 
-func (c *Caller) knownModel(model string) bool {
+func (c *Caller) isKnownModel(model string) bool {
 	known := false
 	c.opts.Config.Read(func(st *state.State) {
 		for _, g := range st.Groups {
@@ -300,8 +304,7 @@
 	return known
 }
 
-// maxTokens returns the limit of generated tokens; a request that names none
-// gets its group's.
+// maxTokens returns the limit of generated tokens, which defaults to the group's.
 func (c *Caller) maxTokens(group *statev1.Group, chat *structs.ChatRequest) (int, *dispatch.Refusal) {
 	name, limit := "max_tokens", chat.MaxTokens
 	if limit == nil && chat.MaxCompletionTokens != nil {
@@ -312,13 +315,13 @@
 		return int(min(int64(group.GetDefaultTokens()), highest)), nil
 	}
 	if *limit < 1 || *limit > highest {
-		return 0, badField(name, "must be a whole number from 1 to %d", highest)
+		return 0, invalidField(name, "must be a whole number from 1 to %d", highest)
 	}
 	return int(*limit), nil
 }
 
-// engineBody sets the limit and asks for a stream that ends with the usage;
-// all else goes on as the caller sent it.
+// engineBody returns the body for the engine: it sets the token limit and requests a
+// stream that ends with the usage. All other fields stay as the caller sent them.
 func engineBody(body []byte, maxTokens int) ([]byte, error) {
 	fields := map[string]json.RawMessage{}
 	if err := json.Unmarshal(body, &fields); err != nil {
--- a/routers/caller/quarantine_test.go
+++ b/routers/caller/quarantine_test.go
@@ -17,33 +17,33 @@
 	"havenwinch.dev/havenwinch/tests/single"
 )
 
-// fatal is in the body of a request under which targets end.
+// fatal marks the body of a request that crashes the target which runs it.
 const fatal = "fatal"
 
-// A request that ends each target that begins to run it comes again, under a new
-// key each time. When three have ended under it, it is refused and the other
-// targets go on.
-func TestARequestThatEndsItsTargets(t *testing.T) {
+// A request that crashes every target which runs it is sent again and again, with a
+// new key each time. After three crashes it has to be refused, so that the remaining
+// targets survive.
+func TestRequestThatCrashesTargetsIsQuarantined(t *testing.T) {
 	const targets = 6
 	cases := map[string]struct {
-		path, body, sound string
-		headers           []string
+		path, body, harmless string
+		headers              []string
 	}{
-		"generation, whole":             {path: chatPath, body: chat(fatal, 8, ""), sound: chat("hi", 8, "")},
-		"generation, streamed":          {path: chatPath, body: chat(fatal, 8, `,"stream":true`), sound: chat("hi", 8, "")},
-		"generation, not repeatable":    {path: chatPath, body: chat(fatal, 8, ""), sound: chat("hi", 8, ""), headers: []string{"Havenwinch-Repeatable: no"}},
-		"plain service":                 {path: "/services/portal/x", body: fatal, sound: "hi"},
-		"plain service, not repeatable": {path: "/services/portal/x", body: fatal, sound: "hi", headers: []string{"Havenwinch-Repeatable: no"}},
+		"generation, JSON":              {path: chatPath, body: chat(fatal, 8, ""), harmless: chat("hi", 8, "")},
+		"generation, streamed":          {path: chatPath, body: chat(fatal, 8, `,"stream":true`), harmless: chat("hi", 8, "")},
+		"generation, not repeatable":    {path: chatPath, body: chat(fatal, 8, ""), harmless: chat("hi", 8, ""), headers: []string{"Havenwinch-Repeatable: no"}},
+		"plain service":                 {path: "/services/portal/x", body: fatal, harmless: "hi"},
+		"plain service, not repeatable": {path: "/services/portal/x", body: fatal, harmless: "hi", headers: []string{"Havenwinch-Repeatable: no"}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var ended atomic.Int64
+			var crashed atomic.Int64
 			opts := single.Options{Tokens: 100_000, Wrap: func(h http.Handler, end func()) http.Handler {
 				return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 					body, err := io.ReadAll(r.Body)
 					if err == nil && bytes.Contains(body, []byte(fatal)) {
-						ended.Add(1)
+						crashed.Add(1)
 						end()
 						panic(http.ErrAbortHandler)
 					}
@@ -62,29 +62,29 @@
 				return send(t, s, "POST", c.path, body, append(c.headers, fmt.Sprintf("Idempotency-Key: key-%d", n), "Prefer: wait=5")...)
 			}
 			refused := func() bool { return strings.Contains(ask(c.body).body, string(structs.KindQuarantined)) }
-			s.Eventually("the request is held back", refused)
-			// The end of a target is confirmed beside the request: the next copies may
-			// have been sent before.
-			if got := ended.Load(); got < 3 || got > 5 {
-				t.Fatalf("%d targets ended", got)
+			s.Eventually("the request is quarantined", refused)
+			// A crash is confirmed concurrently with the request, so the next copies
+			// may be sent before the confirmation.
+			if got := crashed.Load(); got < 3 || got > 5 {
+				t.Fatalf("%d targets crashed", got)
 			}
-			before := ended.Load()
+			before := crashed.Load()
 			got := ask(c.body)
 			if got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" || !strings.Contains(got.body, `"run":"no"`) {
-				t.Fatalf("status %d, come back %q: %s", got.status, got.header.Get("Retry-After"), got.body)
+				t.Fatalf("status %d, Retry-After %q: %s", got.status, got.header.Get("Retry-After"), got.body)
 			}
-			if ended.Load() != before {
-				t.Fatal("a request that is held back was sent")
+			if crashed.Load() != before {
+				t.Fatal("a quarantined request was sent to a target")
 			}
-			s.Eventually("other requests are served", func() bool { return ask(c.sound).status == http.StatusOK })
+			s.Eventually("other requests are still served", func() bool { return ask(c.harmless).status == http.StatusOK })
 		})
 	}
 }
 
-// A request that control holds back stays held back at a box that control's list reaches
-// late. It used to be sent to further targets from the acknowledgement of the box's
-// report on, and the caller got 502 in place of 503.
-func TestARequestIsHeldBackBeforeTheListComes(t *testing.T) {
+// A request that control quarantines must stay quarantined at a box that receives
+// control's list late. Once the box's report was acknowledged, the request used to be
+// sent to further targets, and the caller got 502 instead of 503.
+func TestRequestStaysQuarantinedUntilTheListArrives(t *testing.T) {
 	cases := map[string]struct{ path, body string }{
 		"generation":    {path: chatPath, body: chat(fatal, 8, "")},
 		"plain service": {path: "/services/portal/x", body: fatal},
@@ -108,7 +108,7 @@
 				n++
 				return send(t, s, "POST", c.path, c.body, fmt.Sprintf("Idempotency-Key: key-%d", n))
 			}
-			s.Eventually("control holds the request back", func() bool {
+			s.Eventually("control quarantines the request", func() bool {
 				ask()
 				return s.HeldByControl() == 1
 			})
@@ -119,7 +119,7 @@
 			}
 			s.ListCalls()
 			if got := ask(); got.status != http.StatusServiceUnavailable {
-				t.Fatalf("status %d once the list is there: %s", got.status, got.body)
+				t.Fatalf("status %d after the list arrived: %s", got.status, got.body)
 			}
 		})
 	}
--- a/routers/caller/requests.go
+++ b/routers/caller/requests.go
@@ -19,25 +19,25 @@
 )
 
 // models serves GET /v1/models.
-func (c *Caller) models(s *session) {
+func (c *Caller) models(x *exchange) {
 	list := structs.ModelList{Object: "list", Data: []structs.Model{}}
-	for _, m := range s.group.GetModels() {
+	for _, m := range x.group.GetModels() {
 		list.Data = append(list.Data, structs.Model{ID: m, Object: "model", OwnedBy: "havenwinch"})
 	}
-	writeJSON(s.ctx, fasthttp.StatusOK, list)
+	writeJSON(x.ctx, fasthttp.StatusOK, list)
 }
 
-// find returns the record that a path names.
-func (c *Caller) find(s *session) (*statev1.RequestRecord, *dispatch.Refusal) {
-	key, err := url.PathUnescape(s.ctx.UserValue("key").(string))
+// findRecord returns the record of the request whose key is in the path.
+func (c *Caller) findRecord(x *exchange) (*statev1.RequestRecord, *dispatch.Refusal) {
+	key, err := url.PathUnescape(x.ctx.UserValue("key").(string))
 	if err != nil {
-		return nil, badField("key", "is no valid path segment: encode it")
+		return nil, invalidField("key", "is no valid path segment: encode it")
 	}
-	// The router's value points into buffers that are used again.
-	return c.opts.Dispatcher.Find(c.opts.Work, s.group, string([]byte(key)))
+	// The router's value points into a buffer that fasthttp reuses.
+	return c.opts.Dispatcher.Find(c.opts.Work, x.group, string([]byte(key)))
 }
 
-// stateNames are the words for a record's state.
+// stateNames are the names of the record states in the API.
 var stateNames = map[statev1.RequestState]string{
 	statev1.RequestState_REQUEST_STATE_RESERVED: "reserved",
 	statev1.RequestState_REQUEST_STATE_STARTED:  "started",
@@ -46,7 +46,7 @@
 	statev1.RequestState_REQUEST_STATE_VOIDED:   "voided",
 }
 
-// runOf says what a record proves about a run.
+// runOf returns what a record proves about whether the request ran.
 func runOf(r *statev1.RequestRecord) structs.Run {
 	if r.GetUncertain() {
 		return structs.RunUnknown
@@ -62,10 +62,10 @@
 }
 
 // status serves GET /v1/requests/{key}.
-func (c *Caller) status(s *session) {
-	r, refusal := c.find(s)
+func (c *Caller) status(x *exchange) {
+	r, refusal := c.findRecord(x)
 	if refusal != nil {
-		c.refuse(s, refusal)
+		c.refuse(x, refusal)
 		return
 	}
 	status := structs.RequestStatus{
@@ -83,44 +83,46 @@
 	if r.GetRuns() > 0 && r.GetModel() != "" {
 		status.AnswerAt = "/v1/requests/" + url.PathEscape(r.GetKey()) + "/answer"
 	}
-	writeJSON(s.ctx, fasthttp.StatusOK, status)
+	writeJSON(x.ctx, fasthttp.StatusOK, status)
 }
 
-// answer serves GET /v1/requests/{key}/answer from after Last-Event-ID on.
-func (c *Caller) answer(s *session) {
+// answer serves GET /v1/requests/{key}/answer, starting after the event that
+// Last-Event-ID names.
+func (c *Caller) answer(x *exchange) {
 	after := 0
-	if header := string(s.ctx.Request.Header.Peek("Last-Event-ID")); header != "" {
+	if header := string(x.ctx.Request.Header.Peek("Last-Event-ID")); header != "" {
 		n, err := strconv.Atoi(header)
 		if err != nil || n < 0 {
-			c.refuse(s, badField("Last-Event-ID", "must be the id of the last event that arrived"))
+			c.refuse(x, invalidField("Last-Event-ID", "must be the id of the last event that arrived"))
 			return
 		}
 		after = n
 	}
-	record, refusal := c.find(s)
+	record, refusal := c.findRecord(x)
 	if refusal != nil {
-		c.refuse(s, refusal)
+		c.refuse(x, refusal)
 		return
 	}
 	stream, refusal := c.opts.Dispatcher.Answer(c.opts.Work, record, after)
 	if refusal != nil {
-		c.refuse(s, refusal)
+		c.refuse(x, refusal)
 		return
 	}
-	c.forward(s, record, stream, after)
+	c.streamStored(x, record, stream, after)
 }
 
-// forward hands on a kept answer, of which the caller has the events up to after.
-func (c *Caller) forward(s *session, record *statev1.RequestRecord, stream *engine.Stream, after int) {
-	id, organisation := s.id, s.organisation
-	c.stream(s.ctx, func(w *bufio.Writer) error {
+// streamStored streams a stored answer to a caller that already has the events up
+// to after.
+func (c *Caller) streamStored(x *exchange, record *statev1.RequestRecord, stream *engine.Stream, after int) {
+	id, organisation := x.id, x.organisation
+	c.stream(x.ctx, func(w *bufio.Writer) error {
 		defer stream.Close()
-		sink := &streamSink{w: w, begun: after > 0}
+		sink := &streamSink{w: w, hasSent: after > 0}
 		var result dispatch.Result
 		for {
 			e, err := stream.Next()
 			if err != nil {
-				c.ended(id, organisation, string(structs.KindTruncated))
+				c.recordOutcome(id, organisation, string(structs.KindTruncated))
 				return sink.refuse(errorBody(id, &dispatch.Refusal{Kind: structs.KindTruncated, Run: structs.RunYes, Message: "the answer broke off: ask again from the last event id that arrived"}))
 			}
 			if e.End {
@@ -137,58 +139,58 @@
 			result.Usage = &engine.Usage{}
 		}
 		result.Replayed, result.Billed = true, min(result.Usage.Total(), record.GetBound())
-		c.ended(id, organisation, "done")
+		c.recordOutcome(id, organisation, "done")
 		return sink.end(id, record.GetModel(), result)
 	})
 }
 
 // cancel serves DELETE /v1/requests/{key}.
-func (c *Caller) cancel(s *session) {
-	record, refusal := c.find(s)
+func (c *Caller) cancel(x *exchange) {
+	record, refusal := c.findRecord(x)
 	if refusal == nil && record.GetState() == statev1.RequestState_REQUEST_STATE_STARTED {
 		refusal = c.opts.Dispatcher.Cancel(c.opts.Work, record)
 	}
 	if refusal != nil {
-		c.refuse(s, refusal)
+		c.refuse(x, refusal)
 		return
 	}
-	s.ctx.SetStatusCode(fasthttp.StatusNoContent)
+	x.ctx.SetStatusCode(fasthttp.StatusNoContent)
 }
 
-// service serves plain services under /services/{service}/.
-func (c *Caller) service(s *session) {
-	r, refusal := c.parseService(s)
+// service serves calls of plain services below /services/{service}/.
+func (c *Caller) service(x *exchange) {
+	r, refusal := c.parseService(x)
 	if refusal != nil {
-		c.refuse(s, refusal)
+		c.refuse(x, refusal)
 		return
 	}
-	c.opts.Recorder.Record("arrived", s.id, "service "+r.Service)
+	c.opts.Recorder.Record("arrived", x.id, "service "+r.Service)
 	answer, refusal := c.opts.Dispatcher.ServeService(c.opts.Work, r)
 	if refusal != nil {
-		c.refuse(s, refusal)
+		c.refuse(x, refusal)
 		return
 	}
-	c.ended(s.id, s.organisation, "done")
-	s.ctx.SetStatusCode(answer.Code)
-	s.ctx.SetContentType(answer.ContentType)
-	s.ctx.SetBody(answer.Body)
+	c.recordOutcome(x.id, x.organisation, "done")
+	x.ctx.SetStatusCode(answer.Code)
+	x.ctx.SetContentType(answer.ContentType)
+	x.ctx.SetBody(answer.Body)
 }
 
-func (c *Caller) parseService(s *session) (*dispatch.ServiceRequest, *dispatch.Refusal) {
-	method := string(s.ctx.Method())
-	r := &dispatch.Request{Repeatable: repeatableMethod(method)}
-	if refusal := c.parseHeaders(s, r); refusal != nil {
+func (c *Caller) parseService(x *exchange) (*dispatch.ServiceRequest, *dispatch.Refusal) {
+	method := string(x.ctx.Method())
+	r := &dispatch.Request{Repeatable: isIdempotentMethod(method)}
+	if refusal := c.parseHeaders(x, r); refusal != nil {
 		return nil, refusal
 	}
-	service := string([]byte(s.ctx.UserValue("service").(string)))
-	if !slices.Contains(s.group.GetServices(), service) {
+	service := string([]byte(x.ctx.UserValue("service").(string)))
+	if !slices.Contains(x.group.GetServices(), service) {
 		return nil, &dispatch.Refusal{Kind: structs.KindServiceNotAllowed, Run: structs.RunNo, Message: "this group may not call service " + strconv.Quote(service) + ": ask an operator to allow it"}
 	}
-	path := "/" + string([]byte(s.ctx.UserValue("path").(string)))
-	if query := string(s.ctx.URI().QueryString()); query != "" {
+	path := "/" + string([]byte(x.ctx.UserValue("path").(string)))
+	if query := string(x.ctx.URI().QueryString()); query != "" {
 		path += "?" + query
 	}
-	body, refusal := c.readBody(s)
+	body, refusal := c.readBody(x)
 	if refusal != nil {
 		return nil, refusal
 	}
@@ -196,12 +198,12 @@
 	return &dispatch.ServiceRequest{
 		Request: r,
 		Service: service,
-		Call:    engine.ServiceCall{Method: method, Path: path, ContentType: string(s.ctx.Request.Header.ContentType()), ID: s.id, Body: body},
+		Call:    engine.ServiceCall{Method: method, Path: path, ContentType: string(x.ctx.Request.Header.ContentType()), ID: x.id, Body: body},
 	}, nil
 }
 
-// repeatableMethod tells whether HTTP calls a method idempotent (RFC 9110).
-func repeatableMethod(method string) bool {
+// isIdempotentMethod reports whether a method is idempotent by RFC 9110.
+func isIdempotentMethod(method string) bool {
 	switch method {
 	case fasthttp.MethodGet, fasthttp.MethodHead, fasthttp.MethodPut, fasthttp.MethodDelete, fasthttp.MethodOptions:
 		return true
--- a/routers/caller/service_test.go
+++ b/routers/caller/service_test.go
@@ -12,9 +12,9 @@
 	"havenwinch.dev/havenwinch/tests/single"
 )
 
-// A call whose first server broke off after it had the call may have run, whatever
-// refuses the second try. The refusal of the second try used to say that it had not.
-func TestACallThatMayHaveRunIsNotSaidNotToHaveRun(t *testing.T) {
+// A call whose first server closed the connection after it had read the call may have
+// run, whatever refuses the second attempt. That refusal used to report run "no".
+func TestRefusedRetryReportsThatTheFirstAttemptMayHaveRun(t *testing.T) {
 	breaksOff := http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		panic(http.ErrAbortHandler)
--- a/routers/caller/stream.go
+++ b/routers/caller/stream.go
@@ -11,12 +11,14 @@
 	"github.com/valyala/fasthttp"
 )
 
-// errNotWhole says that an answer broke off. The connection is closed without the last
-// chunk then, so that a client that does not look for the end mark sees it too.
-var errNotWhole = errors.New("the answer is not whole")
+// errIncomplete means that only a part of an answer could be sent. The connection is
+// then closed without the final chunk, so that a client that doesn't look for [DONE]
+// notices as well.
+var errIncomplete = errors.New("the answer is incomplete")
 
-// stream answers with what write writes, and ends the body well only when write returns
-// nil. The library's own writer of streams ends each body well. write runs after the handler has returned, so it uses nothing of its context.
+// stream answers with what write writes. The body is terminated properly only if write
+// returns nil; fasthttp's SetBodyStreamWriter would terminate every body properly.
+// write runs after the handler has returned, so it must not use the request context.
 func (c *Caller) stream(ctx *fasthttp.RequestCtx, write func(w *bufio.Writer) error) {
 	ctx.SetContentType(contentStream)
 	ctx.Response.ImmediateHeaderFlush = true
