--- a/cmd/havenwinchd/forward_control.go
+++ b/cmd/havenwinchd/forward_control.go
@@ -76,13 +76,13 @@
 		Stopping: b.stopping,
 		Handler:  b.Peers.HandlerOptions(),
 	}))
-	r.api = (&platform.Control{
-		Client:   b.Client,
-		Registry: &gateway.Registry{Lookup: r.row, Client: b.Client},
-		Version:  r.version,
-		Serves:   r.serves,
-		Refused:  b.Metrics.EntryRefused,
-		Logger:   b.Logger,
+	r.api = (&platform.ControlAPI{
+		Client:       b.Client,
+		Registry:     &gateway.Registry{Lookup: r.row, Client: b.Client},
+		Version:      r.version,
+		HasService:   r.serves,
+		CountRefused: b.Metrics.EntryRefused,
+		Logger:       b.Logger,
 	}).Server()
 	return r, nil
 }
--- a/cmd/havenwinchd/forward_entry.go
+++ b/cmd/havenwinchd/forward_entry.go
@@ -71,7 +71,7 @@
 		Clock:       b.Clock,
 		Logger:      b.Logger,
 		Counter:     b.Metrics,
-		EngineAPI:   platform.EngineOrders{},
+		EngineAPI:   platform.EngineAPI{},
 		ReportGone:  registry.Deregister,
 		ReportNow:   e.leases.ReportNow,
 		IsCongested: e.overload.IsCongested,
