--- a/routers/caller/bench_test.go
+++ b/routers/caller/bench_test.go
@@ -126,7 +126,7 @@
 // 100,000 and 180,000 of them. Records are kept for the key window; it is short here
 // so that growth means a leak rather than retained records.
 func BenchmarkMemoryGrowth(b *testing.B) {
-	instant := standin.Options{Slots: 512, PrefillPerSecond: 1 << 30, CacheBlocks: 64, Keep: time.Second}
+	instant := standin.Options{Slots: 512, PrefillPerSecond: 1 << 30, CacheBlocks: 64, Retention: time.Second}
 	for b.Loop() {
 		s := single.New(b, single.Options{Tokens: 1 << 50, Engines: []standin.Options{instant}, Window: time.Second})
 		s.Command("rollout target-slots = 256")
--- a/routers/caller/caller_test.go
+++ b/routers/caller/caller_test.go
@@ -239,8 +239,8 @@
 	s := single.New(t, single.Options{Tokens: 10_000_000, Engines: []standin.Options{single.DefaultEngine, single.DefaultEngine}})
 	want := func(prompt string) string {
 		e := standin.New(standin.Options{Slots: 1, PrefillPerSecond: 1 << 30})
-		run := e.Begin(standin.Prompt{ID: "x", Text: "user\n" + prompt + "\n", MaxTokens: 8})
-		return run.Words()
+		run := e.Start(standin.Prompt{ID: "x", Text: "user\n" + prompt + "\n", MaxTokens: 8})
+		return run.WaitText()
 	}
 	var wg sync.WaitGroup
 	for i := range 120 {
@@ -340,7 +340,7 @@
 			one, two := service.New("one", 0), service.New("two", 0)
 			s := single.New(t, single.Options{Tokens: 100, Services: []http.Handler{one, two}})
 			// The server that gets the call first closes the connection.
-			one.CloseOnceWith(two)
+			one.ShareCloses(two)
 			one.CloseNext(test.close)
 			var got answer
 			for range test.sends {
@@ -418,11 +418,11 @@
 	if got.status != 200 || !strings.Contains(got.body, `"id":"m1"`) || strings.Contains(got.body, "m2") {
 		t.Errorf("got %s", got.body)
 	}
-	whole := send(t, s, "POST", chatPath, `{"model":"m1","messages":[{"role":"user","content":"hi"}]}`)
-	if whole.status != 200 || whole.header.Get("Havenwinch-Billed") != fmt.Sprint(whole.Billing.Billed) || whole.header.Get("X-Request-Id") == "" {
-		t.Errorf("got %v %s", whole.header, whole.body)
+	resp := send(t, s, "POST", chatPath, `{"model":"m1","messages":[{"role":"user","content":"hi"}]}`)
+	if resp.status != 200 || resp.header.Get("Havenwinch-Billed") != fmt.Sprint(resp.Billing.Billed) || resp.header.Get("X-Request-Id") == "" {
+		t.Errorf("got %v %s", resp.header, resp.body)
 	}
-	if words := len(strings.Fields(whole.Choices[0].Message.Content)); words != 20 {
+	if words := len(strings.Fields(resp.Choices[0].Message.Content)); words != 20 {
 		t.Errorf("a request without a limit got %d words, its group's default is 20", words)
 	}
 }
--- a/routers/caller/faults_test.go
+++ b/routers/caller/faults_test.go
@@ -35,8 +35,8 @@
 		received      int
 		served        int
 	}{
-		"runs and closes, JSON":                  {standin.FaultMute, false, false, 200, "", "", 1, 1},
-		"runs and closes, not repeatable":        {standin.FaultMute, true, true, 200, "", "", 1, 1},
+		"runs and closes, JSON":                  {standin.FaultRunAndClose, false, false, 200, "", "", 1, 1},
+		"runs and closes, not repeatable":        {standin.FaultRunAndClose, true, true, 200, "", "", 1, 1},
 		"closes without running, JSON":           {standin.FaultClose, false, false, 200, "", "", 2, 1},
 		"closes without running, streamed":       {standin.FaultClose, true, false, 200, "", "", 2, 1},
 		"closes without running, not repeatable": {standin.FaultClose, false, true, 200, "", "", 2, 1},
@@ -45,14 +45,14 @@
 		"truncated, JSON":                        {standin.FaultTruncate, false, false, 200, "", "", 1, 1},
 		"truncated, streamed":                    {standin.FaultTruncate, true, false, 200, "", "", 1, 1},
 		"truncated, not repeatable":              {standin.FaultTruncate, true, true, 200, "", "", 1, 1},
-		"forgotten, JSON":                        {standin.FaultForget, false, false, 200, "", "", 2, 2},
-		"forgotten, streamed":                    {standin.FaultForget, true, false, 200, structs.KindTruncated, structs.RunYes, 1, 1},
-		"forgotten, JSON, not repeatable":        {standin.FaultForget, false, true, 502, structs.KindTargetFailed, structs.RunYes, 1, 1},
-		"event of another run, JSON":             {standin.FaultCross, false, false, 200, "", "", 1, 1},
-		"event of another run, streamed":         {standin.FaultCross, true, false, 200, "", "", 1, 1},
-		"event sent twice":                       {standin.FaultRepeat, true, false, 200, "", "", 1, 1},
-		"never answers":                          {standin.FaultSilent, false, false, 429, structs.KindDeadline, structs.RunNo, 1, 0},
-		"never answers, not repeatable":          {standin.FaultSilent, false, true, 429, structs.KindDeadline, structs.RunNo, 1, 0},
+		"forgotten, JSON":                        {standin.FaultTruncateAndForget, false, false, 200, "", "", 2, 2},
+		"forgotten, streamed":                    {standin.FaultTruncateAndForget, true, false, 200, structs.KindTruncated, structs.RunYes, 1, 1},
+		"forgotten, JSON, not repeatable":        {standin.FaultTruncateAndForget, false, true, 502, structs.KindTargetFailed, structs.RunYes, 1, 1},
+		"event of another run, JSON":             {standin.FaultWrongRun, false, false, 200, "", "", 1, 1},
+		"event of another run, streamed":         {standin.FaultWrongRun, true, false, 200, "", "", 1, 1},
+		"event sent twice":                       {standin.FaultDuplicate, true, false, 200, "", "", 1, 1},
+		"never answers":                          {standin.FaultHang, false, false, 429, structs.KindDeadline, structs.RunNo, 1, 0},
+		"never answers, not repeatable":          {standin.FaultHang, false, true, 429, structs.KindDeadline, structs.RunNo, 1, 0},
 		"no fault":                               {standin.FaultNone, true, false, 200, "", "", 1, 1},
 		"no fault, JSON and not repeatable":      {standin.FaultNone, false, true, 200, "", "", 1, 1},
 	}
--- a/routers/caller/quarantine_test.go
+++ b/routers/caller/quarantine_test.go
@@ -57,11 +57,11 @@
 			}
 			s := single.New(t, opts)
 			n := 0
-			ask := func(body string) answer {
+			call := func(body string) answer {
 				n++
 				return send(t, s, "POST", c.path, body, append(c.headers, fmt.Sprintf("Idempotency-Key: key-%d", n), "Prefer: wait=5")...)
 			}
-			refused := func() bool { return strings.Contains(ask(c.body).body, string(structs.KindQuarantined)) }
+			refused := func() bool { return strings.Contains(call(c.body).body, string(structs.KindQuarantined)) }
 			s.Eventually("the request is quarantined", refused)
 			// A crash is confirmed concurrently with the request, so the next copies
 			// may be sent before the confirmation.
@@ -69,14 +69,14 @@
 				t.Fatalf("%d targets crashed", got)
 			}
 			before := crashed.Load()
-			got := ask(c.body)
+			got := call(c.body)
 			if got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" || !strings.Contains(got.body, `"run":"no"`) {
 				t.Fatalf("status %d, Retry-After %q: %s", got.status, got.header.Get("Retry-After"), got.body)
 			}
 			if crashed.Load() != before {
 				t.Fatal("a quarantined request was sent to a target")
 			}
-			s.Eventually("other requests are still served", func() bool { return ask(c.harmless).status == http.StatusOK })
+			s.Eventually("other requests are still served", func() bool { return call(c.harmless).status == http.StatusOK })
 		})
 	}
 }
@@ -104,21 +104,21 @@
 			}
 			s := single.New(t, opts)
 			n := 0
-			ask := func() answer {
+			call := func() answer {
 				n++
 				return send(t, s, "POST", c.path, c.body, fmt.Sprintf("Idempotency-Key: key-%d", n))
 			}
 			s.Eventually("control quarantines the request", func() bool {
-				ask()
+				call()
 				return s.HeldByControl() == 1
 			})
 			for range 30 {
-				if got := ask(); got.status != http.StatusServiceUnavailable || !strings.Contains(got.body, string(structs.KindQuarantined)) {
+				if got := call(); got.status != http.StatusServiceUnavailable || !strings.Contains(got.body, string(structs.KindQuarantined)) {
 					t.Fatalf("status %d: %s", got.status, got.body)
 				}
 			}
 			s.ListCalls()
-			if got := ask(); got.status != http.StatusServiceUnavailable {
+			if got := call(); got.status != http.StatusServiceUnavailable {
 				t.Fatalf("status %d after the list arrived: %s", got.status, got.body)
 			}
 		})
--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -12,14 +12,14 @@
 	"havenwinch.dev/havenwinch/models/target"
 )
 
-// maxEvents is how many cache events an engine keeps for readers.
+// maxEvents is how many cache events an engine retains for readers.
 const maxEvents = 4096
 
-// prefixCache keeps prompt blocks, the least recently used leave first.
+// prefixCache is an LRU cache of prompt blocks. It publishes its changes as events.
 type prefixCache struct {
 	limit    int
 	blocks   map[target.Block]*list.Element
-	recent   *list.List
+	lru      *list.List
 	epoch    string
 	sequence uint64
 	events   []Event
@@ -33,34 +33,35 @@
 }
 
 func newPrefixCache(limit int) prefixCache {
-	return prefixCache{limit: limit, blocks: map[target.Block]*list.Element{}, recent: list.New(), epoch: uuid.NewString()}
+	return prefixCache{limit: limit, blocks: map[target.Block]*list.Element{}, lru: list.New(), epoch: uuid.NewString()}
 }
 
-// use returns how many leading blocks were held, and then holds all.
-func (c *prefixCache) use(blocks []target.Block) int {
+// lookup returns how many leading blocks are cached, and then caches all blocks.
+func (c *prefixCache) lookup(blocks []target.Block) int {
 	hits := 0
 	for hits < len(blocks) && c.blocks[blocks[hits]] != nil {
 		hits++
 	}
 	for _, b := range blocks {
-		c.hold(b)
+		c.insert(b)
 	}
 	return hits
 }
 
-func (c *prefixCache) hold(b target.Block) {
+// insert adds a block or marks it as recently used. A limit of 0 disables the cache.
+func (c *prefixCache) insert(b target.Block) {
 	if e := c.blocks[b]; e != nil {
-		c.recent.MoveToFront(e)
+		c.lru.MoveToFront(e)
 		return
 	}
 	if c.limit == 0 {
 		return
 	}
-	c.blocks[b] = c.recent.PushFront(b)
+	c.blocks[b] = c.lru.PushFront(b)
 	c.publish("insert", b)
-	if c.recent.Len() > c.limit {
-		last := c.recent.Back()
-		c.recent.Remove(last)
+	if c.lru.Len() > c.limit {
+		last := c.lru.Back()
+		c.lru.Remove(last)
 		evicted := last.Value.(target.Block)
 		delete(c.blocks, evicted)
 		c.publish("evict", evicted)
@@ -75,7 +76,8 @@
 	}
 }
 
-// Events returns the cache events after a sequence of an epoch.
+// Events returns the current epoch and the cache events after a sequence number. If
+// epoch isn't the current one, it returns all retained events.
 func (e *Engine) Events(epoch string, after uint64) (string, []Event) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,11 +1,10 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package engine is a small stand-in for a model engine. It batches
-// continuously within a number of slots, queues by priority, caches prompt
-// prefixes in limited memory, and resumes and cancels runs by their names. Its
-// service model is stated in Options; it generates no language, only numbered
-// words that depend on the prompt.
+// Package engine is a small stand-in for a model engine. It batches continuously
+// within a number of slots, queues by priority, caches prompt prefixes in limited
+// memory, and resumes and cancels runs by ID. Options describe its performance. It
+// doesn't generate language, only numbered words that depend on the prompt.
 package engine
 
 import (
@@ -21,68 +20,68 @@
 	"havenwinch.dev/havenwinch/models/target"
 )
 
-// Options are the service model of an engine.
+// Options describe the performance and behaviour of an engine.
 type Options struct {
 	Name string
-	// Slots is how many runs are decoded together.
+	// Slots is how many runs are decoded concurrently.
 	Slots int
-	// PrefillPerSecond is the prompt tokens worked through in a second.
+	// PrefillPerSecond is the number of prompt tokens prefilled per second.
 	PrefillPerSecond int
 	// TokenTime is the time between tokens of a run.
 	TokenTime time.Duration
-	// CacheBlocks is how many prompt blocks are kept.
+	// CacheBlocks is how many prompt blocks are cached.
 	CacheBlocks int
-	// ChecksOrders says whether orders with an old token are turned away.
+	// ChecksOrders makes the engine reject orders with an outdated fencing token.
 	ChecksOrders bool
-	// Keep is how long an ended run can still be read.
-	Keep time.Duration
+	// Retention is how long a finished run can still be read; 0 means 10 minutes.
+	Retention time.Duration
 }
 
-// Fault is something that an engine can be told to do wrong.
+// Fault is a kind of misbehaviour that can be injected.
 type Fault string
 
-// Faults.
+// Faults that can be injected. Their values are the kinds of POST /fault.
 const (
-	FaultNone     Fault = ""
-	FaultClose    Fault = "close"    // reads the request and closes without a word
-	FaultMute     Fault = "mute"     // runs the request, and closes without a word
-	FaultError    Fault = "error"    // answers 500 without running
-	FaultTruncate Fault = "truncate" // ends the stream after some tokens, the run goes on
-	FaultForget   Fault = "forget"   // like truncate, and forgets the run
-	FaultCross    Fault = "cross"    // sends a chunk with the name of another run
-	FaultSilent   Fault = "silent"   // never answers
-	FaultRepeat   Fault = "repeat"   // sends a chunk twice
+	FaultNone              Fault = ""
+	FaultClose             Fault = "close"    // reads the request and closes the connection without running it
+	FaultRunAndClose       Fault = "mute"     // runs the request and closes the connection without an answer
+	FaultError             Fault = "error"    // answers 500 without running
+	FaultTruncate          Fault = "truncate" // closes the stream after some tokens, the run continues
+	FaultTruncateAndForget Fault = "forget"   // like truncate, but also drops the run
+	FaultWrongRun          Fault = "cross"    // sends a chunk with the ID of another run
+	FaultHang              Fault = "silent"   // never answers
+	FaultDuplicate         Fault = "repeat"   // sends a chunk twice
 )
 
 // Engine is one stand-in engine.
 type Engine struct {
 	opts Options
 
-	mu      sync.Mutex
-	runs    map[string]*Run
-	running int
-	waiting runHeap
-	order   uint64
-	cache   prefixCache
-	faults  *faults
-	orders  []Order
-	inForce map[string]Order
-	// Served counts runs that were begun, Received requests that were read.
-	served   int
-	received int
-	tokens   uint64
-	prompts  int
-}
-
-// New returns an engine.
+	mu         sync.Mutex
+	runs       map[string]*Run
+	running    int
+	queue      runHeap
+	arrival    uint64
+	cache      prefixCache
+	faults     *faults
+	orders     []Order
+	lastOrders map[string]Order
+	// served counts the runs started, received the requests read.
+	served       int
+	received     int
+	tokens       uint64
+	promptTokens int
+}
+
+// New returns an idle engine.
 func New(opts Options) *Engine {
-	if opts.Keep == 0 {
-		opts.Keep = 10 * time.Minute
+	if opts.Retention == 0 {
+		opts.Retention = 10 * time.Minute
 	}
-	return &Engine{opts: opts, runs: map[string]*Run{}, cache: newPrefixCache(opts.CacheBlocks), faults: &faults{}, inForce: map[string]Order{}}
+	return &Engine{opts: opts, runs: map[string]*Run{}, cache: newPrefixCache(opts.CacheBlocks), faults: &faults{}, lastOrders: map[string]Order{}}
 }
 
-// Prompt is what a run is asked for.
+// Prompt holds the parameters of a run.
 type Prompt struct {
 	ID        string
 	Model     string
@@ -92,7 +91,7 @@
 	Priority  int
 }
 
-// Run is one generation.
+// Run is the generation of one answer.
 type Run struct {
 	Prompt
 	PromptTokens int
@@ -104,38 +103,39 @@
 	cancelled bool
 	changed   chan struct{}
 	cancel    context.CancelFunc
-	order     uint64
+	arrival   uint64
 	start     chan struct{}
 }
 
-// faults are what the next requests go wrong by; engines may share them.
+// faults are the faults to inject into the next requests; engines may share them.
 type faults struct {
-	mu   sync.Mutex
-	kind Fault
-	left int
+	mu        sync.Mutex
+	kind      Fault
+	remaining int
 }
 
-// SetFault makes the next n requests go wrong.
+// SetFault injects a fault into the next n requests.
 func (e *Engine) SetFault(f Fault, n int) {
 	e.faults.mu.Lock()
 	defer e.faults.mu.Unlock()
-	e.faults.kind, e.faults.left = f, n
+	e.faults.kind, e.faults.remaining = f, n
 }
 
-// ShareFaults lets a fault hit whichever of two engines is asked first.
+// ShareFaults makes two engines share their faults, so that a fault hits the engine
+// that gets the next request.
 func (e *Engine) ShareFaults(other *Engine) { other.faults = e.faults }
 
 func (e *Engine) takeFault() Fault {
 	e.faults.mu.Lock()
 	defer e.faults.mu.Unlock()
-	if e.faults.left == 0 {
+	if e.faults.remaining == 0 {
 		return FaultNone
 	}
-	e.faults.left--
+	e.faults.remaining--
 	return e.faults.kind
 }
 
-// Counts returns how many requests were received, runs begun and tokens made.
+// Counts returns how many requests were received, runs started and tokens generated.
 func (e *Engine) Counts() (received, served int, tokens uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -148,15 +148,15 @@
 	e.received++
 }
 
-// Work returns the tokens of all runs, prompts included.
+// Work returns the tokens of all runs, including those of the prompts.
 func (e *Engine) Work() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return int(e.tokens) + e.prompts
+	return int(e.tokens) + e.promptTokens
 }
 
-// Begin starts a run, or returns the one that has its name already.
-func (e *Engine) Begin(p Prompt) *Run {
+// Start starts a run, or returns the existing one with its ID.
+func (e *Engine) Start(p Prompt) *Run {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if r := e.runs[p.ID]; r != nil {
@@ -166,14 +166,14 @@
 	r := &Run{Prompt: p, changed: make(chan struct{}), cancel: cancel, start: make(chan struct{})}
 	r.PromptTokens = len(p.Text)/4 + 4
 	blocks := target.Blocks(p.Scope, p.Model, p.Text)
-	r.Cached = min(r.PromptTokens, e.cache.use(blocks)*target.BlockBytes/4)
-	e.order++
-	r.order = e.order
+	r.Cached = min(r.PromptTokens, e.cache.lookup(blocks)*target.BlockBytes/4)
+	e.arrival++
+	r.arrival = e.arrival
 	e.runs[p.ID] = r
 	e.served++
-	e.prompts += r.PromptTokens
+	e.promptTokens += r.PromptTokens
 	e.enqueue(r)
-	go e.work(ctx, r)
+	go e.generate(ctx, r)
 	return r
 }
 
@@ -183,31 +183,31 @@
 		close(r.start)
 		return
 	}
-	heap.Push(&e.waiting, r)
+	heap.Push(&e.queue, r)
 }
 
-// release gives a slot to the next waiting run.
+// release passes a slot on to the next queued run.
 func (e *Engine) release() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.waiting.Len() == 0 {
+	if e.queue.Len() == 0 {
 		e.running--
 		return
 	}
-	close(heap.Pop(&e.waiting).(*Run).start)
+	close(heap.Pop(&e.queue).(*Run).start)
 }
 
-func (e *Engine) work(ctx context.Context, r *Run) {
+func (e *Engine) generate(ctx context.Context, r *Run) {
 	<-r.start
 	defer e.release()
 	prefill := time.Duration(r.PromptTokens-r.Cached) * time.Second / time.Duration(e.opts.PrefillPerSecond)
-	if !pause(ctx, prefill) {
+	if !sleep(ctx, prefill) {
 		r.end(true)
 		return
 	}
 	seed := xxhash.Sum64String(r.Text)
 	for i := range r.MaxTokens {
-		if !pause(ctx, e.opts.TokenTime) {
+		if !sleep(ctx, e.opts.TokenTime) {
 			r.end(true)
 			return
 		}
@@ -217,10 +217,10 @@
 		e.mu.Unlock()
 	}
 	r.end(false)
-	time.AfterFunc(e.opts.Keep, func() { e.Forget(r.ID) })
+	time.AfterFunc(e.opts.Retention, func() { e.Forget(r.ID) })
 }
 
-func pause(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
@@ -238,24 +238,24 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.words = append(r.words, word)
-	r.announce()
+	r.notify()
 }
 
 func (r *Run) end(cancelled bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ended, r.cancelled = true, cancelled
-	r.announce()
+	r.notify()
 }
 
-func (r *Run) announce() {
+func (r *Run) notify() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// after returns the words after a number, whether the run has ended, and what
-// tells of more.
-func (r *Run) after(n int) (words []string, ended, cancelled bool, changed <-chan struct{}) {
+// wordsAfter returns the words after the first n, whether the run has ended or was
+// cancelled, and a channel that is closed at the next change.
+func (r *Run) wordsAfter(n int) (words []string, ended, cancelled bool, changed <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if n < len(r.words) {
@@ -264,29 +264,29 @@
 	return words, r.ended, r.cancelled, r.changed
 }
 
-// Usage returns the tokens of a run so far.
+// Usage returns the tokens of a run so far and whether it has ended.
 func (r *Run) Usage() (prompt, completion int, ended bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.PromptTokens, len(r.words), r.ended
 }
 
-// Find returns a run by name.
+// Find returns the run with an ID, nil if there is none.
 func (e *Engine) Find(id string) *Run {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.runs[id]
 }
 
-// Forget drops a run, as a restart would.
+// Forget drops a run, as a restart of the engine would.
 func (e *Engine) Forget(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	delete(e.runs, id)
 }
 
-// Cancel ends a run. A name that is not known is remembered as cancelled, so
-// that a request that arrives late is not run.
+// Cancel cancels a run. An unknown ID is recorded as cancelled, so that a request that
+// arrives late isn't run.
 func (e *Engine) Cancel(id string) (r *Run, known bool) {
 	e.mu.Lock()
 	r = e.runs[id]
@@ -301,50 +301,52 @@
 	return r, r.PromptTokens > 0
 }
 
-// Load returns what the engine reports of itself.
+// Load returns the number of running and queued runs and the prompt tokens that the
+// queued ones still have to prefill.
 func (e *Engine) Load() (running, queued, promptQueued int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, r := range e.waiting {
+	for _, r := range e.queue {
 		promptQueued += r.PromptTokens - r.Cached
 	}
-	return e.running, e.waiting.Len(), promptQueued
+	return e.running, e.queue.Len(), promptQueued
 }
 
-// Order is a fenced order.
+// Order is an order with a fencing token.
 type Order struct {
 	Token uint64 `json:"token"`
 	Kind  string `json:"kind"`
 	Value string `json:"value"`
 }
 
-// Order takes an order. An engine that checks turns old tokens away.
+// Order applies an order. It returns false if the engine checks tokens and has applied
+// an order of the same kind with a newer one.
 func (e *Engine) Order(o Order) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.opts.ChecksOrders && o.Token < e.inForce[o.Kind].Token {
+	if e.opts.ChecksOrders && o.Token < e.lastOrders[o.Kind].Token {
 		return false
 	}
-	e.inForce[o.Kind] = o
+	e.lastOrders[o.Kind] = o
 	e.orders = append(e.orders, o)
 	return true
 }
 
-// Orders returns the orders that were carried out, in their order.
+// Orders returns the applied orders, oldest first.
 func (e *Engine) Orders() []Order {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]Order(nil), e.orders...)
 }
 
-// InForce returns the last order of a kind.
+// InForce returns the last applied order of a kind, the zero Order if there is none.
 func (e *Engine) InForce(kind string) Order {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.inForce[kind]
+	return e.lastOrders[kind]
 }
 
-// runHeap orders waiting runs by priority, then arrival.
+// runHeap orders queued runs by priority, then by arrival.
 type runHeap []*Run
 
 func (h runHeap) Len() int { return len(h) }
@@ -352,7 +354,7 @@
 	if h[i].Priority != h[j].Priority {
 		return h[i].Priority > h[j].Priority
 	}
-	return h[i].order < h[j].order
+	return h[i].arrival < h[j].arrival
 }
 func (h runHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
@@ -367,10 +369,10 @@
 	return last
 }
 
-// Words returns a run's whole text once it has ended.
-func (r *Run) Words() string {
+// WaitText waits until the run has ended and returns its text.
+func (r *Run) WaitText() string {
 	for {
-		words, ended, _, changed := r.after(0)
+		words, ended, _, changed := r.wordsAfter(0)
 		if ended {
 			return strings.Join(words, "")
 		}
--- a/standin/engine/http.go
+++ b/standin/engine/http.go
@@ -10,7 +10,7 @@
 	"strconv"
 )
 
-// truncateAfter is how many words a truncated stream sends.
+// truncateAfter is the number of words in a truncated stream.
 const truncateAfter = 3
 
 type chatBody struct {
@@ -51,8 +51,8 @@
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// Fate is what an engine says of a run.
-type Fate struct {
+// RunStatus is the engine's answer to a query for a run or its cancellation.
+type RunStatus struct {
 	Known            bool `json:"known"`
 	Ended            bool `json:"ended"`
 	PromptTokens     int  `json:"prompt_tokens"`
@@ -88,16 +88,16 @@
 	case FaultError:
 		http.Error(w, "broken", http.StatusInternalServerError)
 		return
-	case FaultSilent:
+	case FaultHang:
 		<-r.Context().Done()
 		return
 	}
-	run := e.Begin(e.promptOf(r, body))
-	if _, _, cancelled, _ := run.after(0); cancelled {
+	run := e.Start(e.promptOf(r, body))
+	if _, _, cancelled, _ := run.wordsAfter(0); cancelled {
 		http.Error(w, "this run was cancelled", http.StatusConflict)
 		return
 	}
-	if fault == FaultMute {
+	if fault == FaultRunAndClose {
 		panic(http.ErrAbortHandler)
 	}
 	e.stream(w, r, run, 0, fault)
@@ -129,12 +129,12 @@
 	flusher := w.(http.Flusher)
 	flusher.Flush()
 	for {
-		words, ended, cancelled, changed := run.after(sent)
+		words, ended, cancelled, changed := run.wordsAfter(sent)
 		for _, word := range words {
 			sent++
 			e.sendWord(w, run, sent, word, fault)
-			if sent == truncateAfter && (fault == FaultTruncate || fault == FaultForget) {
-				if fault == FaultForget {
+			if sent == truncateAfter && (fault == FaultTruncate || fault == FaultTruncateAndForget) {
+				if fault == FaultTruncateAndForget {
 					e.Forget(run.ID)
 				}
 				panic(http.ErrAbortHandler)
@@ -155,11 +155,11 @@
 
 func (e *Engine) sendWord(w http.ResponseWriter, run *Run, sequence int, word string, fault Fault) {
 	c := chunk{ID: run.ID, Object: "chat.completion.chunk", Model: run.Model, Choices: []choice{{Delta: delta{Content: word}}}}
-	if fault == FaultCross && sequence == 2 {
+	if fault == FaultWrongRun && sequence == 2 {
 		c.ID, c.Choices[0].Delta.Content = "another-run", "foreign "
 	}
 	send(w, sequence, c)
-	if fault == FaultRepeat && sequence == 2 {
+	if fault == FaultDuplicate && sequence == 2 {
 		send(w, sequence, c)
 	}
 }
@@ -187,17 +187,17 @@
 func (e *Engine) cancel(w http.ResponseWriter, r *http.Request) {
 	run, known := e.Cancel(r.PathValue("id"))
 	prompt, completion, _ := run.Usage()
-	reply(w, Fate{Known: known, Ended: true, PromptTokens: prompt, CompletionTokens: completion})
+	reply(w, RunStatus{Known: known, Ended: true, PromptTokens: prompt, CompletionTokens: completion})
 }
 
 func (e *Engine) status(w http.ResponseWriter, r *http.Request) {
 	run := e.Find(r.PathValue("id"))
 	if run == nil {
-		reply(w, Fate{})
+		reply(w, RunStatus{})
 		return
 	}
 	prompt, completion, ended := run.Usage()
-	reply(w, Fate{Known: run.PromptTokens > 0, Ended: ended, PromptTokens: prompt, CompletionTokens: completion})
+	reply(w, RunStatus{Known: run.PromptTokens > 0, Ended: ended, PromptTokens: prompt, CompletionTokens: completion})
 }
 
 func (e *Engine) load(w http.ResponseWriter, _ *http.Request) {
--- a/standin/main.go
+++ b/standin/main.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Command standin runs small stand-ins for what the platform gives: model
-// engines, servers of a plain service, the list of targets and the weight
-// store. It is no part of the product.
+// Command standin runs small stand-ins for the services of the platform: model
+// engines, servers of a plain service, the list of targets and the weight store. It is
+// not part of havenwinch itself.
 package main
 
 import (
@@ -44,10 +44,10 @@
 			&cli.IntFlag{Name: "servers", Value: 1, Usage: "servers of the plain service in each data centre"},
 			&cli.StringFlag{Name: "service", Value: "portal", Usage: "name of the plain service"},
 			&cli.StringSliceFlag{Name: "model", Value: []string{"small-1"}, Usage: "models of every engine"},
-			&cli.IntFlag{Name: "slots", Value: 8, Usage: "runs decoded together by an engine"},
-			&cli.IntFlag{Name: "prefill", Value: 20000, Usage: "prompt tokens an engine works through in a second"},
+			&cli.IntFlag{Name: "slots", Value: 8, Usage: "runs that an engine decodes concurrently"},
+			&cli.IntFlag{Name: "prefill", Value: 20000, Usage: "prompt tokens that an engine prefills per second"},
 			&cli.DurationFlag{Name: "token-time", Value: 10 * time.Millisecond, Usage: "time between tokens of a run"},
-			&cli.IntFlag{Name: "cache-blocks", Value: 4096, Usage: "prompt blocks an engine keeps"},
+			&cli.IntFlag{Name: "cache-blocks", Value: 4096, Usage: "prompt blocks that an engine caches"},
 		},
 		Action: run,
 	}
@@ -71,7 +71,7 @@
 			return err
 		}
 	}
-	slog.Info("stand-ins are up", "platform", "http://"+address, "targets", len(list.List().Targets))
+	slog.Info("stand-ins are ready", "platform", "http://"+address, "targets", len(list.List().Targets))
 	<-ctx.Done()
 	return nil
 }
@@ -104,6 +104,8 @@
 	return nil
 }
 
+// serve runs a handler on an address in the background and returns the address that
+// was opened.
 func serve(address string, handler http.Handler) (string, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -1,9 +1,8 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package platform is a small stand-in for what the platform publishes: the
-// lagging list of live and leaving targets, and the weight store with its
-// limited rate.
+// Package platform is a small stand-in for the platform's services: the list of live
+// and leaving targets, which may lag behind reality, and the rate-limited weight store.
 package platform
 
 import (
@@ -33,7 +32,7 @@
 	Targets []Target `json:"targets"`
 }
 
-// Platform publishes a list.
+// Platform publishes the list of targets and limits reads of weights.
 type Platform struct {
 	weights *rate.Limiter
 
@@ -43,8 +42,8 @@
 	targets map[string]Target
 }
 
-// New returns a platform with an empty list and a weight store that allows so
-// many reads a second.
+// New returns a platform with an empty list and a weight store that allows
+// readsPerSecond reads per second.
 func New(readsPerSecond float64) *Platform {
 	return &Platform{targets: map[string]Target{}, weights: rate.NewLimiter(rate.Limit(readsPerSecond), 1)}
 }
@@ -57,7 +56,7 @@
 	p.targets[t.Name] = t
 }
 
-// SetState changes a target's state.
+// SetState changes the state of a target on the list.
 func (p *Platform) SetState(name, state string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -67,7 +66,7 @@
 	p.version++
 }
 
-// Remove takes a target off the list.
+// Remove removes a target from the list.
 func (p *Platform) Remove(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -107,7 +106,7 @@
 	_ = json.NewEncoder(w).Encode(list)
 }
 
-// Reads returns how often the list was asked for.
+// Reads returns how often the list was requested, including answers with status 304.
 func (p *Platform) Reads() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -120,7 +119,7 @@
 	p.reads++
 }
 
-// List returns the list in the order of names.
+// List returns the list sorted by name.
 func (p *Platform) List() List {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -1,8 +1,7 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package service is a small stand-in for a plain service beside the model
-// engines, with calls that may be repeated and calls that may not.
+// Package service is a small stand-in for a plain service, which isn't a model engine.
 package service
 
 import (
@@ -13,32 +12,33 @@
 	"time"
 )
 
-// Service answers every call with its own count of calls.
+// Service answers every call with the number of calls of that method and path so far.
 type Service struct {
 	Name string
-	// Delay is the time a call takes.
+	// Delay is the duration of each call.
 	Delay time.Duration
 
 	mu    sync.Mutex
 	calls map[string]int
-	// close counts the calls that are to be closed; servers may share it.
-	close *atomic.Int64
+	// closesLeft is how many of the next calls get no answer; servers may share it.
+	closesLeft *atomic.Int64
 }
 
-// New returns a service.
+// New returns a service whose calls take delay.
 func New(name string, delay time.Duration) *Service {
-	return &Service{Name: name, Delay: delay, calls: map[string]int{}, close: &atomic.Int64{}}
+	return &Service{Name: name, Delay: delay, calls: map[string]int{}, closesLeft: &atomic.Int64{}}
 }
 
-// CloseNext makes the next n calls be read and then closed without a word.
+// CloseNext makes the service close the connection without an answer for the next n
+// calls. They are counted as calls.
 func (s *Service) CloseNext(n int) {
-	s.close.Store(int64(n))
+	s.closesLeft.Store(int64(n))
 }
 
-// CloseOnceWith makes two servers share their count of calls to close.
-func (s *Service) CloseOnceWith(other *Service) { other.close = s.close }
+// ShareCloses makes CloseNext count the calls of both servers together.
+func (s *Service) ShareCloses(other *Service) { other.closesLeft = s.closesLeft }
 
-// Calls returns how often a method and path was called.
+// Calls returns how often a method and path, as "GET /path", was called.
 func (s *Service) Calls(methodAndPath string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,7 +51,7 @@
 	key := r.Method + " " + r.URL.Path
 	s.calls[key]++
 	n := s.calls[key]
-	abort := s.close.Add(-1) >= 0
+	abort := s.closesLeft.Add(-1) >= 0
 	s.mu.Unlock()
 	time.Sleep(s.Delay)
 	if abort {
