--- a/cmd/havenwinchd/wire.go
+++ b/cmd/havenwinchd/wire.go
@@ -163,8 +163,8 @@
 }
 
 // newFollower returns the follower of the configuration. It prefers the keepers of its
-// own data centre, which relay the configuration. Keepers themselves, and boxes that
-// reach no keeper, follow the control boxes.
+// own data centre, which relay the configuration. Keepers themselves, and boxes without
+// a keeper in their data centre, follow the control boxes.
 func newFollower(s *setting.Settings, store *configuration.Store, p *peers.Peers, r *timeline.Recorder, l *slog.Logger) *configuration.Follower {
 	return &configuration.Follower{
 		Box:      s.Box,
--- a/routers/caller/caller.go
+++ b/routers/caller/caller.go
@@ -76,7 +76,7 @@
 	Work context.Context
 	// MaxBody is the largest accepted body, in bytes.
 	MaxBody int
-	// MaxWait is the latest deadline that a request can get.
+	// MaxWait caps the time from a request's arrival to its deadline.
 	MaxWait time.Duration
 	// ReadTimeout bounds the time to read one request.
 	ReadTimeout time.Duration
--- a/routers/caller/parse.go
+++ b/routers/caller/parse.go
@@ -31,8 +31,8 @@
 	headerRepeatable     = "Havenwinch-Repeatable"
 
 	maxKeyBytes = 200
-	// tokensPerMessage bounds the tokens that an engine's chat template adds around
-	// each message, and tokensPerRequest those it adds around all of them.
+	// tokensPerMessage bounds the tokens that an engine adds around each message, and
+	// tokensPerRequest those that it adds around all of them.
 	tokensPerMessage = 8
 	tokensPerRequest = 16
 	// bytesPerToken is the usual length of a token and serves estimates only. Bounds
