--- a/routers/gateway/answer.go
+++ b/routers/gateway/answer.go
@@ -22,9 +22,9 @@
 	"havenwinch.dev/havenwinch/structs"
 )
 
-// statuses are the HTTP statuses of refusals. Those of 408, 421, 429 and 503
-// promise that the call has not run.
-var statuses = map[structs.Kind]int{
+// statusOf maps the kind of a refusal to its HTTP status. 408, 421, 429 and 503
+// guarantee that the call has not run.
+var statusOf = map[structs.Kind]int{
 	structs.KindNotReady:          http.StatusServiceUnavailable,
 	structs.KindNotFound:          http.StatusNotFound,
 	structs.KindWrongKey:          http.StatusUnauthorized,
@@ -40,9 +40,9 @@
 	structs.KindTargetFailed:      http.StatusBadGateway,
 }
 
-// refuse answers with a refusal.
-func (ss *session) refuse(a *reply.Answer, h *fasthttp.RequestHeader, r *forward.Refusal) error {
-	field, id := ss.s.opts.Translator.RequestID(h)
+// writeRefusal writes a refusal as the whole answer.
+func (c *connection) writeRefusal(a *reply.Answer, h *fasthttp.RequestHeader, r *forward.Refusal) error {
+	field, id := c.server.opts.Translator.RequestID(h)
 	body, err := json.Marshal(structs.ErrorBody{Error: structs.Error{Kind: r.Kind, Message: r.Message, Run: r.Run, RequestID: id, RetryAfter: r.RetryAfter.Seconds()}})
 	if err != nil {
 		return errors.WithStack(err)
@@ -55,43 +55,47 @@
 		fields = append(fields, reply.Field{Name: "Retry-After", Value: strconv.FormatFloat(math.Ceil(r.RetryAfter.Seconds()*100)/100, 'f', -1, 64)})
 	}
 	fields = append(fields, reply.Field{Name: "Content-Type", Value: "application/json"})
-	return a.Whole(statuses[r.Kind], fields, body)
+	return a.Whole(statusOf[r.Kind], fields, body)
 }
 
+// malformed returns the refusal of a request that can't be parsed.
 func malformed(err error) *forward.Refusal {
 	return &forward.Refusal{Kind: structs.KindMalformed, Run: structs.RunNo, Message: err.Error()}
 }
 
-// badHeader answers a request whose head can't be read; nothing of it was
-// passed on, and the connection ends.
-func (ss *session) badHeader(err error) bool {
+// rejectHead answers a request whose head is invalid. Nothing of the request has
+// been forwarded. It returns false: the connection must be closed.
+func (c *connection) rejectHead(err error) bool {
 	switch {
 	case err == io.EOF:
 		return false
 	case http1.IsErrTooLong(err):
-		ss.plain(http.StatusRequestHeaderFieldsTooLarge, err.Error())
+		c.writeTextError(http.StatusRequestHeaderFieldsTooLarge, err.Error())
 	case http1.IsErrHead(err):
-		ss.plain(http.StatusBadRequest, err.Error()+": send a request line and fields of HTTP/1.1")
+		c.writeTextError(http.StatusBadRequest, err.Error()+": send a request line and fields of HTTP/1.1")
 	default:
-		ss.plain(http.StatusBadRequest, "the head of the request can't be read: send a request line and fields of HTTP/1.1 in time")
+		c.writeTextError(http.StatusBadRequest, "the head of the request can't be read: send a request line and fields of HTTP/1.1 in time")
 	}
 	return false
 }
 
-// plain answers a request that can't be read; the connection ends.
-func (ss *session) plain(status int, message string) {
-	ss.last = true
-	// A caller that doesn't take it has left.
-	_ = ss.replies.Next(http.MethodGet).Whole(status, []reply.Field{{Name: "Content-Type", Value: "text/plain; charset=utf-8"}}, []byte(message))
+// writeTextError answers a request that can't be parsed with an error in plain text
+// and marks the connection for closing.
+func (c *connection) writeTextError(status int, message string) {
+	c.closeAfter = true
+	// A write error means that the caller has disconnected.
+	_ = c.writer.Next(http.MethodGet).Whole(status, []reply.Field{{Name: "Content-Type", Value: "text/plain; charset=utf-8"}}, []byte(message))
 }
 
-// readBody reads the whole body of a request.
-func (ss *session) readBody(a *reply.Answer, h *fasthttp.RequestHeader, limits *statev1.CallerLimits) ([]byte, *forward.Refusal) {
-	most := int64(limits.GetMaxBodyBytes())
+// readBody reads the whole body of a request, asking for it first if the caller
+// sent Expect: 100-continue. A request without a body yields nil.
+func (c *connection) readBody(a *reply.Answer, h *fasthttp.RequestHeader, limits *statev1.CallerLimits) ([]byte, *forward.Refusal) {
+	maxBytes := int64(limits.GetMaxBodyBytes())
 	length := h.ContentLength()
-	if int64(length) > most {
-		return nil, tooLarge(most)
+	if int64(length) > maxBytes {
+		return nil, tooLarge(maxBytes)
 	}
+	// fasthttp returns -2 when the request has neither a length nor a coding.
 	if length == 0 || length == -2 {
 		return nil, nil
 	}
@@ -100,33 +104,35 @@
 			return nil, malformed(errors.New("the body was not sent: wait for 100 Continue and send it"))
 		}
 	}
-	_ = ss.conn.SetReadDeadline(time.Now().Add(bodyTime))
+	_ = c.conn.SetReadDeadline(time.Now().Add(bodyReadTimeout))
 	if length > 0 {
 		body := make([]byte, length)
-		if _, err := io.ReadFull(ss.reader, body); err != nil {
+		if _, err := io.ReadFull(c.reader, body); err != nil {
 			return nil, malformed(errors.New("the body ended early: send as many bytes as its length says"))
 		}
 		return body, nil
 	}
-	return ss.readChunks(most)
+	return c.readChunkedBody(maxBytes)
 }
 
-func (ss *session) readChunks(most int64) ([]byte, *forward.Refusal) {
-	body, err := io.ReadAll(io.LimitReader(httputil.NewChunkedReader(ss.reader), most+1))
+// readChunkedBody reads a body in chunked encoding, of at most maxBytes bytes.
+func (c *connection) readChunkedBody(maxBytes int64) ([]byte, *forward.Refusal) {
+	body, err := io.ReadAll(io.LimitReader(httputil.NewChunkedReader(c.reader), maxBytes+1))
 	if err != nil {
 		return nil, malformed(errors.New("the chunks of the body can't be read: end each with its length and the body with an empty one"))
 	}
-	if int64(len(body)) > most {
-		return nil, tooLarge(most)
+	if int64(len(body)) > maxBytes {
+		return nil, tooLarge(maxBytes)
 	}
-	// The library leaves the trailer; only an empty one is taken.
-	if end, err := ss.reader.Peek(2); err == nil && string(end) == "\r\n" {
-		_, _ = ss.reader.Discard(2)
+	// The chunked reader leaves the trailer section unread; only an empty one is
+	// accepted.
+	if end, err := c.reader.Peek(2); err == nil && string(end) == "\r\n" {
+		_, _ = c.reader.Discard(2)
 		return body, nil
 	}
 	return nil, malformed(errors.New("fields after the body are not taken: send them before it"))
 }
 
-func tooLarge(most int64) *forward.Refusal {
-	return &forward.Refusal{Kind: structs.KindTooLarge, Run: structs.RunNo, Message: "the body is longer than " + strconv.FormatInt(most, 10) + " bytes: send a shorter one"}
+func tooLarge(maxBytes int64) *forward.Refusal {
+	return &forward.Refusal{Kind: structs.KindTooLarge, Run: structs.RunNo, Message: "the body is longer than " + strconv.FormatInt(maxBytes, 10) + " bytes: send a shorter one"}
 }
--- a/routers/gateway/fuzz_test.go
+++ b/routers/gateway/fuzz_test.go
@@ -19,19 +19,20 @@
 	"havenwinch.dev/havenwinch/tests/observe"
 )
 
-// fuzzWait bounds one execution: a caller that never ends its request has the box wait.
+// fuzzWait bounds one execution: without it, the server would wait for the rest of an
+// unfinished request.
 const fuzzWait = 5 * time.Millisecond
 
-// passed is a request that a target got.
-type passed struct {
+// forwardedRequest is a request as a target received it.
+type forwardedRequest struct {
 	id, method, target string
 	body               []byte
 	fields             http.Header
 }
 
-// FuzzRequests: whatever bytes a caller sends, a target gets whole requests that a strict
-// reader finds in them, in their order and with their bodies, and the caller gets answers
-// that every reader takes in the same way.
+// FuzzRequests checks that, whatever bytes a caller sends, targets receive only whole
+// requests that a strict parser finds in these bytes, in the same order and with the
+// same bodies, and that the caller receives answers that all parsers interpret alike.
 func FuzzRequests(f *testing.F) {
 	const post = "POST /plain/x HTTP/1.1\r\nHost: h\r\nX-Id: a\r\n"
 	seeds := []string{
@@ -47,16 +48,16 @@
 		f.Add([]byte(s))
 	}
 	var mu sync.Mutex
-	var got []passed
-	// The path names the execution: a call that was given up may still reach its target when
-	// a later one runs. Where the path was changed, this execution or one of the last that
-	// were given up must have sent what a target got.
+	var got []forwardedRequest
+	// The path contains the number of the execution, since the call of an execution that
+	// timed out may still reach its target during a later one. If the path was altered,
+	// the request must stem from this execution or one of the last that timed out.
 	execution := 0
-	var givenUp []*script
+	var timedOut []*script
 	m := newFixture(f, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		mu.Lock()
-		got = append(got, passed{id: r.Header.Get("X-Id"), method: r.Method, target: r.RequestURI, body: body, fields: r.Header.Clone()})
+		got = append(got, forwardedRequest{id: r.Header.Get("X-Id"), method: r.Method, target: r.RequestURI, body: body, fields: r.Header.Clone()})
 		mu.Unlock()
 		signed(w, r)
 	})
@@ -70,7 +71,7 @@
 		mark := fmt.Sprintf("/x%d.", execution)
 		mu.Unlock()
 		sent = bytes.ReplaceAll(sent, []byte("/x"), []byte(mark))
-		answers, whole := askRaw(m.server, sent)
+		answers, complete := sendRaw(m.server, sent)
 		checkAnswers(t, sent, answers)
 		mu.Lock()
 		defer mu.Unlock()
@@ -81,24 +82,24 @@
 			}
 			scripts := []*script{own}
 			if !strings.Contains(p.target, mark) {
-				scripts = append(scripts, givenUp...)
+				scripts = append(scripts, timedOut...)
 			}
-			checkPassed(t, scripts, p, sent)
+			checkForwarded(t, scripts, p, sent)
 		}
-		if !whole {
-			givenUp = append([]*script{own}, givenUp[:min(len(givenUp), mostGivenUp-1)]...)
+		if !complete {
+			timedOut = append([]*script{own}, timedOut[:min(len(timedOut), maxTimedOut-1)]...)
 		}
 	})
 }
 
-// askRaw sends bytes over a connection of their own and returns what comes back. whole
-// is false when the caller gave up before the server had ended.
-func askRaw(s *Server, sent []byte) (answers []byte, whole bool) {
+// sendRaw sends bytes over a new connection and returns what the server wrote. complete
+// is false if fuzzWait passed before the server closed the connection.
+func sendRaw(s *Server, sent []byte) (answers []byte, complete bool) {
 	near, far := observe.Pipe()
 	served, read := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(served)
-		s.handle(far)
+		s.serveConn(far)
 	}()
 	_, _ = near.Write(sent)
 	var got bytes.Buffer
@@ -106,15 +107,15 @@
 		defer close(read)
 		_, _ = io.Copy(&got, near)
 	}()
-	over := time.AfterFunc(fuzzWait, func() { _ = near.Close() })
+	timer := time.AfterFunc(fuzzWait, func() { _ = near.Close() })
 	<-served
-	whole = over.Stop()
+	complete = timer.Stop()
 	_ = near.Close()
 	<-read
-	return got.Bytes(), whole
+	return got.Bytes(), complete
 }
 
-// checkAnswers looks whether a strict reader can read all that came back.
+// checkAnswers fails the test if a strict parser can't parse all answers.
 func checkAnswers(t *testing.T, sent, got []byte) {
 	t.Helper()
 	want := bufio.NewReader(bytes.NewReader(sent))
@@ -133,7 +134,7 @@
 	}
 }
 
-// readNext reads a request, after an empty line that is passed over.
+// readNext reads a request and skips an empty line before it.
 func readNext(r *bufio.Reader) (*http.Request, error) {
 	if err := http1.SkipLine(r); err != nil {
 		return nil, err
@@ -141,14 +142,14 @@
 	return http.ReadRequest(r)
 }
 
-// mostGivenUp is how many executions that were given up may have sent a request that
-// comes now.
-const mostGivenUp = 16
+// maxTimedOut is how many of the last executions that timed out may be the source of a
+// request that arrives now.
+const maxTimedOut = 16
 
-// script are the requests that another reader finds in a caller's bytes.
+// script lists the requests that an independent parser finds in a caller's bytes.
 type script struct {
-	requests []passed
-	// next is the first request that no target got yet.
+	requests []forwardedRequest
+	// next is the index of the first request that no target has received yet.
 	next int
 }
 
@@ -161,13 +162,13 @@
 			return s
 		}
 		body, _ := io.ReadAll(request.Body)
-		s.requests = append(s.requests, passed{id: request.Header.Get("X-Id"), method: request.Method, target: request.RequestURI, body: body})
+		s.requests = append(s.requests, forwardedRequest{id: request.Header.Get("X-Id"), method: request.Method, target: request.RequestURI, body: body})
 	}
 }
 
-// has tells whether a request that a target got is a later one of the script than those
-// before it, and goes on behind it.
-func (s *script) has(p passed) bool {
+// consume reports whether the script contains the request at or after next, and moves
+// next behind it.
+func (s *script) consume(p forwardedRequest) bool {
 	for i, r := range s.requests[s.next:] {
 		if r.id == p.id && r.method == p.method && r.target == p.target && bytes.Equal(r.body, p.body) {
 			s.next += i + 1
@@ -177,14 +178,14 @@
 	return false
 }
 
-// checkPassed looks whether a request that a target got is the next of its id in one of
-// the scripts.
-func checkPassed(t *testing.T, scripts []*script, p passed, sent []byte) {
+// checkForwarded fails the test if a request that a target received does not come next
+// in one of the scripts.
+func checkForwarded(t *testing.T, scripts []*script, p forwardedRequest, sent []byte) {
 	t.Helper()
 	if len(p.fields.Values("X-Id")) != 1 {
-		t.Fatalf("a target got %v of %q", p.fields, sent)
+		t.Fatalf("a target received the fields %v; sent: %q", p.fields, sent)
 	}
-	if !slices.ContainsFunc(scripts, func(s *script) bool { return s.has(p) }) {
-		t.Fatalf("a target got %+v, which the caller has not sent: %q", p, sent)
+	if !slices.ContainsFunc(scripts, func(s *script) bool { return s.consume(p) }) {
+		t.Fatalf("a target received %+v, which the caller has not sent: %q", p, sent)
 	}
 }
--- a/routers/gateway/server.go
+++ b/routers/gateway/server.go
@@ -1,10 +1,11 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package gateway is the HTTP interface for calls that are passed through. It
-// keeps each connection's life in its own hands, since the promises depend on
-// when a connection is closed: an answer that is not whole must never look so,
-// and a caller that leaves must be noticed while its call runs.
+// Package gateway is the HTTP/1.1 server for calls that are forwarded to targets
+// unchanged. It manages each connection itself rather than using a library server,
+// since correctness depends on when a connection is closed: an incomplete answer
+// must never look complete, and a caller that disconnects must be noticed while its
+// call runs.
 package gateway
 
 import (
@@ -27,22 +28,24 @@
 )
 
 const (
-	// Limits until the routing table names others.
-	defaultHeaderBytes = 16 << 10
-	defaultBodyBytes   = 4 << 20
-	defaultHeaderTime  = 3 * time.Second
-	defaultIdleTime    = 15 * time.Second
-	// bodyTime is how long a body may take.
-	bodyTime = 10 * time.Second
-	// writeTime is how long a caller may leave bytes unread.
-	writeTime = 20 * time.Second
+	// Defaults for limits that the routing table does not set.
+	defaultMaxHeaderBytes = 16 << 10
+	defaultMaxBodyBytes   = 4 << 20
+	defaultHeaderTimeout  = 3 * time.Second
+	defaultIdleTimeout    = 15 * time.Second
+	// bodyReadTimeout is the time within which a request body must arrive.
+	bodyReadTimeout = 10 * time.Second
+	// writeTimeout is the time within which a caller must accept the bytes of one write.
+	writeTimeout = 20 * time.Second
 )
 
-// Translator reads calls in the language of the callers.
+// Translator converts requests of one caller-facing dialect into calls.
 type Translator interface {
-	// Call makes a call of a request; an error says what is wrong with it.
+	// Call builds a call from a request. The error is sent to the caller and must
+	// say what to correct.
 	Call(h *fasthttp.RequestHeader, body []byte) (*forward.Call, error)
-	// RequestID returns the request's own name, for refusals.
+	// RequestID returns the header field that carries the request's ID and its
+	// value, to be repeated in refusals; the value is empty if there is none.
 	RequestID(h *fasthttp.RequestHeader) (field, value string)
 }
 
@@ -50,39 +53,42 @@
 type Options struct {
 	Forwarder  *forward.Forwarder
 	Translator Translator
-	// Limits returns the limits of the table in force, nil before the first.
+	// Limits returns the limits of the active routing table, nil before the first
+	// table has arrived.
 	Limits func() *statev1.CallerLimits
 	Clock  clock.Clock
 	Logger *slog.Logger
-	// Sheds tells whether connections should close after their answers; nil for
-	// never.
+	// Sheds reports whether connections should be closed after their current answer,
+	// to shed load; nil means never.
 	Sheds func() bool
-	// Work ends when calls in progress must end.
+	// Work is the parent context of all calls; canceling it aborts those in progress.
 	Work context.Context
 }
 
-// Server serves callers.
+// Server accepts connections of callers and forwards their calls.
 type Server struct {
 	opts     Options
 	stopping atomic.Bool
 
-	mu    sync.Mutex
+	mu sync.Mutex
+	// idle holds the connections without a call in progress, guarded by mu.
 	idle  map[net.Conn]bool
 	conns sync.WaitGroup
 }
 
-// New returns a server.
+// New returns a server that accepts nothing until Serve is called.
 func New(opts Options) *Server {
 	return &Server{opts: opts, idle: map[net.Conn]bool{}}
 }
 
-// Serve takes connections until the listener is closed.
+// Serve accepts connections until the listener is closed and returns the error of
+// the listener.
 func (s *Server) Serve(l net.Listener) error {
 	for {
 		c, err := l.Accept()
 		if err != nil {
-			var temporary net.Error
-			if errors.As(err, &temporary) && temporary.Timeout() {
+			var netErr net.Error
+			if errors.As(err, &netErr) && netErr.Timeout() {
 				continue
 			}
 			return errors.WithStack(err)
@@ -90,13 +96,14 @@
 		s.conns.Add(1)
 		go func() {
 			defer s.conns.Done()
-			s.handle(c)
+			s.serveConn(c)
 		}()
 	}
 }
 
-// Stop lets calls in progress end and tells callers with each answer that the
-// connection closes. CloseIdle then closes what rests.
+// Stop begins a graceful shutdown: calls in progress may finish, and each further
+// answer announces Connection: close. Call CloseIdle afterwards to close the
+// connections that are idle.
 func (s *Server) Stop() { s.stopping.Store(true) }
 
 // CloseIdle closes the connections on which no call is in progress.
@@ -108,7 +115,7 @@
 	}
 }
 
-// Wait returns once no connection is open, or when the context ends.
+// Wait blocks until all connections are closed or the context is done.
 func (s *Server) Wait(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
@@ -121,158 +128,168 @@
 	}
 }
 
+// limits returns the limits of the active routing table, with defaults for those it
+// does not set.
 func (s *Server) limits() *statev1.CallerLimits {
 	l := s.opts.Limits()
 	if l == nil {
 		l = &statev1.CallerLimits{}
 	}
-	or := func(value uint32, otherwise int64) uint32 {
+	orDefault := func(value uint32, defaultValue int64) uint32 {
 		if value > 0 {
 			return value
 		}
-		return uint32(otherwise)
+		return uint32(defaultValue)
 	}
 	return &statev1.CallerLimits{
-		MaxHeaderBytes: or(l.GetMaxHeaderBytes(), defaultHeaderBytes),
-		MaxBodyBytes:   or(l.GetMaxBodyBytes(), defaultBodyBytes),
-		HeaderTimeout:  or(l.GetHeaderTimeout(), defaultHeaderTime.Milliseconds()),
-		IdleTimeout:    or(l.GetIdleTimeout(), defaultIdleTime.Milliseconds()),
+		MaxHeaderBytes: orDefault(l.GetMaxHeaderBytes(), defaultMaxHeaderBytes),
+		MaxBodyBytes:   orDefault(l.GetMaxBodyBytes(), defaultMaxBodyBytes),
+		HeaderTimeout:  orDefault(l.GetHeaderTimeout(), defaultHeaderTimeout.Milliseconds()),
+		IdleTimeout:    orDefault(l.GetIdleTimeout(), defaultIdleTimeout.Milliseconds()),
 	}
 }
 
-// session is one connection of a caller.
-type session struct {
-	s      *Server
+// connection is one connection of a caller.
+type connection struct {
+	server *Server
 	conn   net.Conn
 	reader *bufio.Reader
-	// replies is all that writes to the connection.
-	replies *reply.Conn
-	// last says that the connection closes after this answer.
-	last bool
+	// writer is the only writer of the connection.
+	writer *reply.Conn
+	// closeAfter is true if the connection must be closed after the current answer.
+	closeAfter bool
 }
 
-func (s *Server) handle(c net.Conn) {
-	defer c.Close()
+// serveConn handles the requests of one connection, one after the other, and closes
+// it.
+func (s *Server) serveConn(conn net.Conn) {
+	defer conn.Close()
 	limits := s.limits()
-	ss := &session{s: s, conn: c, reader: bufio.NewReaderSize(c, int(limits.GetMaxHeaderBytes()))}
-	ss.replies = reply.NewConn(c, reply.Options{WriteTime: writeTime, Last: ss.closes})
-	for !ss.last && ss.await(s.limits()) {
-		if !ss.exchange(s.limits()) {
+	c := &connection{server: s, conn: conn, reader: bufio.NewReaderSize(conn, int(limits.GetMaxHeaderBytes()))}
+	c.writer = reply.NewConn(conn, reply.Options{WriteTime: writeTimeout, Last: c.shouldClose})
+	for !c.closeAfter && c.awaitRequest(s.limits()) {
+		if !c.handleRequest(s.limits()) {
 			return
 		}
 	}
 }
 
-// closes tells whether the connection closes after the answer whose head is written now.
-func (ss *session) closes() bool {
-	if ss.s.stopping.Load() || ss.s.opts.Sheds != nil && ss.s.opts.Sheds() {
-		ss.last = true
+// shouldClose reports whether the connection must be closed after the answer whose
+// head is being written.
+func (c *connection) shouldClose() bool {
+	if c.server.stopping.Load() || c.server.opts.Sheds != nil && c.server.opts.Sheds() {
+		c.closeAfter = true
 	}
-	return ss.last
+	return c.closeAfter
 }
 
-// await waits for the first byte of a request.
-func (ss *session) await(limits *statev1.CallerLimits) bool {
-	if !ss.s.rest(ss.conn, time.Duration(limits.GetIdleTimeout())*time.Millisecond) {
+// awaitRequest waits for the first byte of a request. It returns false if none
+// arrives within the idle timeout or the server is stopping.
+func (c *connection) awaitRequest(limits *statev1.CallerLimits) bool {
+	if !c.server.markIdle(c.conn, time.Duration(limits.GetIdleTimeout())*time.Millisecond) {
 		return false
 	}
-	defer ss.s.wake(ss.conn)
-	_, err := ss.reader.Peek(1)
+	defer c.server.markActive(c.conn)
+	_, err := c.reader.Peek(1)
 	return err == nil
 }
 
-// rest notes that no call is in progress on a connection, and for how long it
-// may stay so; false when the server stops. The head of the last answer may
-// have been sent before the stop began; a request that crosses the close is not
-// read and can be sent again.
-func (s *Server) rest(c net.Conn, limit time.Duration) bool {
+// markIdle marks a connection as idle and sets its idle timeout. It returns false if
+// the server is stopping. The head of the last answer may have been sent before the
+// stop began and then did not announce the close; a request that arrives meanwhile
+// is never read, so that the caller can safely send it again.
+func (s *Server) markIdle(c net.Conn, timeout time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.stopping.Load() {
 		return false
 	}
 	s.idle[c] = true
-	_ = c.SetReadDeadline(time.Now().Add(limit))
+	_ = c.SetReadDeadline(time.Now().Add(timeout))
 	return true
 }
 
-func (s *Server) wake(c net.Conn) {
+// markActive marks a connection as having a call in progress.
+func (s *Server) markActive(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.idle, c)
 }
 
-// exchange reads one request and answers it; false ends the connection.
-func (ss *session) exchange(limits *statev1.CallerLimits) bool {
-	_ = ss.conn.SetReadDeadline(time.Now().Add(time.Duration(limits.GetHeaderTimeout()) * time.Millisecond))
+// handleRequest reads one request and answers it. It returns false if the connection
+// must be closed.
+func (c *connection) handleRequest(limits *statev1.CallerLimits) bool {
+	_ = c.conn.SetReadDeadline(time.Now().Add(time.Duration(limits.GetHeaderTimeout()) * time.Millisecond))
 	h := &fasthttp.RequestHeader{}
-	if err := ss.readHead(h); err != nil {
-		return ss.badHeader(err)
+	if err := c.readHead(h); err != nil {
+		return c.rejectHead(err)
 	}
-	ss.last = h.ConnectionClose()
-	a := ss.replies.Next(string(h.Method()))
-	body, refusal := ss.readBody(a, h, limits)
+	c.closeAfter = h.ConnectionClose()
+	a := c.writer.Next(string(h.Method()))
+	body, refusal := c.readBody(a, h, limits)
 	if refusal != nil {
-		ss.last = true
-		return ss.refuse(a, h, refusal) == nil
+		c.closeAfter = true
+		return c.writeRefusal(a, h, refusal) == nil
 	}
-	call, err := ss.s.opts.Translator.Call(h, body)
+	call, err := c.server.opts.Translator.Call(h, body)
 	if err != nil {
-		return ss.refuse(a, h, malformed(err)) == nil
+		return c.writeRefusal(a, h, malformed(err)) == nil
 	}
-	call.Arrived = ss.s.opts.Clock.Boot()
-	return ss.serve(a, h, call)
+	call.Arrived = c.server.opts.Clock.Boot()
+	return c.forwardCall(a, h, call)
 }
 
-// readHead reads the head of a request that every reader takes the same way.
-func (ss *session) readHead(h *fasthttp.RequestHeader) error {
-	if err := http1.SkipLine(ss.reader); err != nil {
+// readHead reads the head of a request. Heads that parsers could interpret in
+// different ways are rejected.
+func (c *connection) readHead(h *fasthttp.RequestHeader) error {
+	if err := http1.SkipLine(c.reader); err != nil {
 		return err
 	}
-	head, err := http1.Peek(ss.reader)
+	head, err := http1.Peek(c.reader)
 	if err != nil {
 		return err
 	}
 	if _, err := http1.CheckRequest(head); err != nil {
 		return err
 	}
-	return h.Read(ss.reader)
+	return h.Read(c.reader)
 }
 
-// serve has the call passed through while it watches the caller; false ends the
-// connection.
-func (ss *session) serve(a *reply.Answer, h *fasthttp.RequestHeader, call *forward.Call) bool {
-	ctx, cancel := context.WithCancel(ss.s.opts.Work)
+// forwardCall forwards the call and cancels it if the caller disconnects meanwhile.
+// It returns false if the connection must be closed.
+func (c *connection) forwardCall(a *reply.Answer, h *fasthttp.RequestHeader, call *forward.Call) bool {
+	ctx, cancel := context.WithCancel(c.server.opts.Work)
 	defer cancel()
-	stop := ss.watch(cancel)
-	err := ss.s.opts.Forwarder.Serve(ctx, call, a)
-	gone := stop()
-	if gone {
+	stopWatch := c.watchDisconnect(cancel)
+	err := c.server.opts.Forwarder.Serve(ctx, call, a)
+	disconnected := stopWatch()
+	if disconnected {
 		return false
 	}
 	var refusal *forward.Refusal
 	if a.State() == reply.None && errors.As(err, &refusal) {
-		err = ss.refuse(a, h, refusal)
+		err = c.writeRefusal(a, h, refusal)
 	}
-	return err == nil && a.State() == reply.Ended && !ss.last
+	return err == nil && a.State() == reply.Ended && !c.closeAfter
 }
 
-// watch notices when the caller closes its connection; what it returns ends
-// the watch and tells whether the caller has gone.
-func (ss *session) watch(gone context.CancelFunc) func() bool {
-	_ = ss.conn.SetReadDeadline(time.Time{})
+// watchDisconnect calls cancel as soon as the caller closes its connection. The
+// function that it returns ends the watch and reports whether the caller has
+// disconnected.
+func (c *connection) watchDisconnect(cancel context.CancelFunc) func() bool {
+	_ = c.conn.SetReadDeadline(time.Time{})
 	done := make(chan bool, 1)
 	go func() {
-		_, err := ss.reader.Peek(ss.reader.Buffered() + 1)
+		_, err := c.reader.Peek(c.reader.Buffered() + 1)
 		var timeout net.Error
-		left := err != nil && err != bufio.ErrBufferFull && !(errors.As(err, &timeout) && timeout.Timeout())
-		if left {
-			gone()
+		disconnected := err != nil && err != bufio.ErrBufferFull && !(errors.As(err, &timeout) && timeout.Timeout())
+		if disconnected {
+			cancel()
 		}
-		done <- left
+		done <- disconnected
 	}()
 	return func() bool {
-		_ = ss.conn.SetReadDeadline(time.Unix(1, 0))
+		_ = c.conn.SetReadDeadline(time.Unix(1, 0))
 		return <-done
 	}
 }
--- a/routers/gateway/server_test.go
+++ b/routers/gateway/server_test.go
@@ -26,7 +26,7 @@
 	"havenwinch.dev/havenwinch/services/quarantine"
 )
 
-// plainTranslator reads calls with the names of these tests.
+// plainTranslator implements Translator with the field names of testDialect.
 type plainTranslator struct{}
 
 func (plainTranslator) RequestID(h *fasthttp.RequestHeader) (string, string) {
@@ -45,7 +45,7 @@
 	}, nil
 }
 
-var dialect = forward.Dialect{RequestID: "X-Id", Deadline: "X-Deadline", Organisation: "X-Org", ExpectTarget: "X-Expect", NotRun: "X-Not-Run", Signature: "X-Signed", LastEvent: "X-Last", Priority: "X-Rank"}
+var testDialect = forward.Dialect{RequestID: "X-Id", Deadline: "X-Deadline", Organisation: "X-Org", ExpectTarget: "X-Expect", NotRun: "X-Not-Run", Signature: "X-Signed", LastEvent: "X-Last", Priority: "X-Rank"}
 
 type noLeases struct{}
 
@@ -63,13 +63,14 @@
 func (noCounter) Limit(string)                    {}
 func (noCounter) Odd(string, string)              {}
 
-// fixture is a server before one target, whose handler a test writes.
+// fixture is a server that forwards to the targets of a test.
 type fixture struct {
 	server  *Server
 	address string
 	cancel  context.CancelFunc
 }
 
+// newFixture starts a server that forwards to one target with the given handler.
 func newFixture(t testing.TB, target http.HandlerFunc) *fixture {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -79,17 +80,17 @@
 	backend := &http.Server{Handler: target}
 	go func() { _ = backend.Serve(l) }()
 	t.Cleanup(func() { _ = backend.Close() })
-	return newFixtureBefore(t, l.Addr().String())
+	return newFixtureWithTargets(t, l.Addr().String())
 }
 
-// newFixtureBefore returns a server before targets at some addresses; the first is in
-// its own data centre.
-func newFixtureBefore(t testing.TB, addresses ...string) *fixture {
+// newFixtureWithTargets starts a server that forwards to targets at the given
+// addresses. Only the first target is in the server's own data centre.
+func newFixtureWithTargets(t testing.TB, addresses ...string) *fixture {
 	t.Helper()
 	route := func(name string, kind statev1.Route_Kind, attempts uint32) *statev1.Route {
 		return &statev1.Route{Name: name, Host: "h", PathPrefix: "/" + name + "/", Kind: kind, Timeout: 30000, Objective: 1000, MaxAttempts: attempts, Resumable: name == "resume", Splits: []*statev1.Split{{Service: "s", Weight: 1}}}
 	}
-	message := &betweenv1.FollowResponse{
+	update := &betweenv1.FollowResponse{
 		Routing: &statev1.RoutingTable{
 			Version: 1,
 			Routes: []*statev1.Route{
@@ -102,14 +103,14 @@
 		TargetRevision: uint64(len(addresses)),
 	}
 	for i, address := range addresses {
-		message.Targets = append(message.Targets, &statev1.RegisteredTarget{Id: fmt.Sprintf("t%d", i+1), Service: "s", Address: address, DataCentre: []string{"", "far"}[min(i, 1)], State: statev1.RegisteredTarget_STATE_READY, Revision: uint64(i + 1)})
+		update.Targets = append(update.Targets, &statev1.RegisteredTarget{Id: fmt.Sprintf("t%d", i+1), Service: "s", Address: address, DataCentre: []string{"", "far"}[min(i, 1)], State: statev1.RegisteredTarget_STATE_READY, Revision: uint64(i + 1)})
 	}
-	copyOf := store.NewStore(clock.System{})
-	copyOf.Apply(message)
-	f := forward.New(forward.Options{Dialect: dialect, Store: copyOf, Leases: noLeases{}, Quarantine: quarantine.New(quarantine.Options{List: &copyOf.Quarantine, Clock: clock.System{}, Logger: logging.Discard()}), Clock: clock.System{}, Logger: logging.Discard(), Counter: noCounter{}, RetryStock: 10})
+	table := store.NewStore(clock.System{})
+	table.Apply(update)
+	f := forward.New(forward.Options{Dialect: testDialect, Store: table, Leases: noLeases{}, Quarantine: quarantine.New(quarantine.Options{List: &table.Quarantine, Clock: clock.System{}, Logger: logging.Discard()}), Clock: clock.System{}, Logger: logging.Discard(), Counter: noCounter{}, RetryStock: 10})
 	f.Refresh()
 	work, cancel := context.WithCancel(context.Background())
-	s := New(Options{Forwarder: f, Translator: plainTranslator{}, Limits: func() *statev1.CallerLimits { return copyOf.Index().Table.GetLimits() }, Clock: clock.System{}, Logger: logging.Discard(), Work: work})
+	s := New(Options{Forwarder: f, Translator: plainTranslator{}, Limits: func() *statev1.CallerLimits { return table.Index().Table.GetLimits() }, Clock: clock.System{}, Logger: logging.Discard(), Work: work})
 	front, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -122,6 +123,7 @@
 	return &fixture{server: s, address: front.Addr().String(), cancel: cancel}
 }
 
+// signed sets the fields that the forwarder requires in a target's answer.
 func signed(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("X-Signed", "yes")
 	w.Header().Set("X-Id", r.Header.Get("X-Id"))
@@ -163,9 +165,10 @@
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: h\r\nX-Id: %s\r\nContent-Length: 0\r\n\r\n", path, id)
 }
 
-// A stream's head may have gone out before a stop began, so the caller does
-// not know that the connection closes. A request that follows is not read.
-func TestStopClosesAfterAStreamThatBeganBefore(t *testing.T) {
+// The head of a stream may have been sent before the stop began, so that the caller
+// does not know that the connection will be closed. A request that follows must not be
+// read.
+func TestStopClosesConnectionAfterRunningStream(t *testing.T) {
 	release := make(chan struct{})
 	ran := make(chan string, 4)
 	f := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
@@ -180,18 +183,18 @@
 	c.send(t, request("/stream/x", "first"))
 	resp := c.head(t)
 	if resp.Close {
-		t.Fatal("the head says that the connection closes before any stop")
+		t.Fatal("the head announces Connection: close before the stop")
 	}
 	f.server.Stop()
 	f.server.CloseIdle()
 	close(release)
 	body, err := io.ReadAll(resp.Body)
 	if err != nil || string(body) != "id: 0\ndata: a\n\nid: 1\ndata: b\n\n" {
-		t.Fatalf("the stream was not whole: %q, %v", body, err)
+		t.Fatalf("the stream is incomplete: %q, %v", body, err)
 	}
 	_, _ = io.WriteString(c.Conn, request("/plain/x", "second"))
 	if _, err := c.r.ReadByte(); err == nil {
-		t.Fatal("a request after the stop was answered on a connection that had to close")
+		t.Fatal("a request after the stop was answered on a connection that had to be closed")
 	}
 	f.server.Wait(context.Background())
 	if got := <-ran; got != "first" || len(ran) != 0 {
@@ -199,8 +202,8 @@
 	}
 }
 
-// An answer that begins after the stop says that the connection closes.
-func TestStopTellsWithTheAnswer(t *testing.T) {
+// An answer that begins after the stop must announce Connection: close.
+func TestStopAnnouncesCloseInAnswer(t *testing.T) {
 	began, release := make(chan struct{}), make(chan struct{})
 	f := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		close(began)
@@ -218,8 +221,8 @@
 	f.server.Wait(context.Background())
 }
 
-// A caller that leaves ends the call at the target.
-func TestCallerThatLeavesEndsTheCall(t *testing.T) {
+// When a caller disconnects, its call at the target must be canceled.
+func TestDisconnectCancelsCall(t *testing.T) {
 	began, ended := make(chan struct{}), make(chan struct{})
 	f := newFixture(t, func(_ http.ResponseWriter, r *http.Request) {
 		close(began)
@@ -233,23 +236,23 @@
 	<-ended
 }
 
-// Bad requests get a plain answer and reach no target.
+// Invalid requests must get an error status and not reach a target.
 func TestBadRequests(t *testing.T) {
 	f := newFixture(t, func(http.ResponseWriter, *http.Request) { t.Error("a bad request reached the target") })
 	cases := map[string]struct {
 		send   string
 		status int
 	}{
-		"no id":              {send: "POST /plain/x HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n", status: http.StatusBadRequest},
-		"no request line":    {send: "nonsense\r\n\r\n", status: http.StatusBadRequest},
-		"head too long":      {send: "POST /plain/x HTTP/1.1\r\nHost: h\r\nX-Long: " + strings.Repeat("a", 4096) + "\r\n\r\n", status: http.StatusRequestHeaderFieldsTooLarge},
-		"body too long":      {send: "POST /plain/x HTTP/1.1\r\nHost: h\r\nX-Id: a\r\nContent-Length: 4096\r\n\r\n", status: http.StatusRequestEntityTooLarge},
-		"chunks too long":    {send: "POST /plain/x HTTP/1.1\r\nHost: h\r\nX-Id: a\r\nTransfer-Encoding: chunked\r\n\r\nc00\r\n" + strings.Repeat("a", 0xc00) + "\r\n0\r\n\r\n", status: http.StatusRequestEntityTooLarge},
-		"chunks broken":      {send: "POST /plain/x HTTP/1.1\r\nHost: h\r\nX-Id: a\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", status: http.StatusBadRequest},
-		"two lengths":        {send: "POST /plain/x HTTP/1.1\r\nHost: h\r\nX-Id: a\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab", status: http.StatusBadRequest},
-		"no route":           {send: request("/other/x", "a"), status: http.StatusNotFound},
-		"another host":       {send: "GET /plain/x HTTP/1.1\r\nHost: other\r\nX-Id: a\r\n\r\n", status: http.StatusNotFound},
-		"prefix without end": {send: request("/plain", "a"), status: http.StatusNotFound},
+		"no id":             {send: "POST /plain/x HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n", status: http.StatusBadRequest},
+		"no request line":   {send: "nonsense\r\n\r\n", status: http.StatusBadRequest},
+		"head too long":     {send: "POST /plain/x HTTP/1.1\r\nHost: h\r\nX-Long: " + strings.Repeat("a", 4096) + "\r\n\r\n", status: http.StatusRequestHeaderFieldsTooLarge},
+		"body too long":     {send: "POST /plain/x HTTP/1.1\r\nHost: h\r\nX-Id: a\r\nContent-Length: 4096\r\n\r\n", status: http.StatusRequestEntityTooLarge},
+		"chunks too long":   {send: "POST /plain/x HTTP/1.1\r\nHost: h\r\nX-Id: a\r\nTransfer-Encoding: chunked\r\n\r\nc00\r\n" + strings.Repeat("a", 0xc00) + "\r\n0\r\n\r\n", status: http.StatusRequestEntityTooLarge},
+		"invalid chunks":    {send: "POST /plain/x HTTP/1.1\r\nHost: h\r\nX-Id: a\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", status: http.StatusBadRequest},
+		"two lengths":       {send: "POST /plain/x HTTP/1.1\r\nHost: h\r\nX-Id: a\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab", status: http.StatusBadRequest},
+		"no route":          {send: request("/other/x", "a"), status: http.StatusNotFound},
+		"unknown host":      {send: "GET /plain/x HTTP/1.1\r\nHost: other\r\nX-Id: a\r\n\r\n", status: http.StatusNotFound},
+		"incomplete prefix": {send: request("/plain", "a"), status: http.StatusNotFound},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -262,8 +265,8 @@
 	}
 }
 
-// A chunked body reaches the target whole, and the connection serves on.
-func TestBodiesAndKeptConnections(t *testing.T) {
+// A chunked body must reach the target whole, and the connection must stay usable.
+func TestChunkedBodyKeepsConnection(t *testing.T) {
 	f := newFixture(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		signed(w, r)
