--- a/routers/admin/admin.go
+++ b/routers/admin/admin.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package admin is the HTTP interface for operators: commands, queries, the
-// time line, status, health and metrics. docs/API.md describes it.
+// Package admin is the HTTP API for operators: commands, queries, the event timeline,
+// status, health and metrics. docs/API.md describes it.
 package admin
 
 import (
@@ -30,83 +30,89 @@
 )
 
 const (
-	// commandTimeout bounds a command; after it the outcome is unknown.
-	commandTimeout = 10 * time.Second
-	maxBody        = 64 << 10
-	readTimeout    = 10 * time.Second
-	retryLeader    = 2 * time.Second
+	// commandTimeout bounds a command or query. The outcome of a command that exceeds
+	// it is unknown.
+	commandTimeout   = 10 * time.Second
+	maxBodyBytes     = 64 << 10
+	readTimeout      = 10 * time.Second
+	leaderRetryAfter = 2 * time.Second
 )
 
-// Control reaches the leading control box.
+// Control sends commands and queries to the leader of the control boxes.
 type Control interface {
 	Command(ctx context.Context, r *betweenv1.CommandRequest) (*betweenv1.CommandResponse, error)
 	Query(ctx context.Context, r *betweenv1.QueryRequest) (*betweenv1.QueryResponse, error)
 }
 
-// Box is what the interface tells about its own box.
+// Box provides the state of the local box.
 type Box interface {
 	Status() structs.BoxStatus
-	// Ready returns an error while the balancer should send nothing.
+	// Ready returns an error, which is shown to the load balancer, while the box should
+	// not receive requests.
 	Ready() error
+	// Explain returns the scores of all candidate targets for a model.
 	Explain(model string) []target.Score
 }
 
-// Options configure the interface.
+// Options configure an Admin.
 type Options struct {
-	Control   Control
-	Box       Box
+	Control Control
+	Box     Box
+	// Operators maps the digest of an operator's key to the operator's name.
 	Operators map[string]string
 	Recorder  *timeline.Recorder
 	Registry  *prometheus.Registry
 	Logger    *slog.Logger
-	Work      context.Context
+	// Work is the parent context of commands and queries.
+	Work context.Context
 }
 
-// Admin is the interface's server.
+// Admin is the server of the API for operators.
 type Admin struct {
 	opts   Options
 	server *fasthttp.Server
 }
 
-// New returns the interface.
+// New returns a server with all routes; the caller starts it with Server.
 func New(opts Options) *Admin {
 	a := &Admin{opts: opts}
 	r := router.New()
 	r.GET("/healthz", func(ctx *fasthttp.RequestCtx) { ctx.SetBodyString("alive\n") })
 	r.GET("/readyz", a.ready)
 	r.GET("/metrics", fasthttpadaptor.NewFastHTTPHandler(promhttp.HandlerFor(opts.Registry, promhttp.HandlerOpts{})))
-	r.POST("/admin/v1/commands", a.guard(a.command))
-	r.GET("/admin/v1/query", a.guard(a.query))
-	r.GET("/admin/v1/events", a.guard(a.events))
-	r.GET("/admin/v1/status", a.guard(a.status))
-	r.GET("/admin/v1/explain", a.guard(a.explain))
+	r.POST("/admin/v1/commands", a.requireOperator(a.command))
+	r.GET("/admin/v1/query", a.requireOperator(a.query))
+	r.GET("/admin/v1/events", a.requireOperator(a.events))
+	r.GET("/admin/v1/status", a.requireOperator(a.status))
+	r.GET("/admin/v1/explain", a.requireOperator(a.explain))
 	a.server = &fasthttp.Server{
 		Handler:               r.Handler,
 		Name:                  "havenwinch",
 		ReadTimeout:           readTimeout,
-		MaxRequestBodySize:    maxBody,
+		MaxRequestBodySize:    maxBodyBytes,
 		NoDefaultServerHeader: true,
 		CloseOnShutdown:       true,
 	}
 	return a
 }
 
-// Server returns the HTTP server.
+// Server returns the HTTP server, to be started and shut down by the caller.
 func (a *Admin) Server() *fasthttp.Server { return a.server }
 
-// guard admits operators.
-func (a *Admin) guard(handle func(ctx *fasthttp.RequestCtx, operator string)) fasthttp.RequestHandler {
+// requireOperator wraps a handler that needs an operator's key as bearer token, and
+// passes the operator's name to it.
+func (a *Admin) requireOperator(handle func(ctx *fasthttp.RequestCtx, operator string)) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		header := string(ctx.Request.Header.Peek(fasthttp.HeaderAuthorization))
 		key, ok := strings.CutPrefix(header, "Bearer ")
-		wanted := digest.Of([]byte(key))
-		for known, name := range a.opts.Operators {
-			if ok && digest.Equal(known, wanted) {
-				handle(ctx, name)
+		keyDigest := digest.Of([]byte(key))
+		for known, operator := range a.opts.Operators {
+			if ok && digest.Equal(known, keyDigest) {
+				handle(ctx, operator)
 				return
 			}
 		}
-		fail(ctx, fasthttp.StatusUnauthorized, structs.Error{Kind: structs.KindWrongKey, Run: structs.RunNo, Message: "send an operator's key as Authorization: Bearer; the operators-file of this box lists their digests"})
+		writeError(ctx, fasthttp.StatusUnauthorized, structs.Error{Kind: structs.KindWrongKey, Run: structs.RunNo, Message: "send an operator's key as Authorization: Bearer; the operators-file of this box lists their digests"})
 	}
 }
 
@@ -122,18 +128,18 @@
 func (a *Admin) command(ctx *fasthttp.RequestCtx, operator string) {
 	var c structs.Command
 	if err := json.Unmarshal(ctx.PostBody(), &c); err != nil {
-		fail(ctx, fasthttp.StatusBadRequest, structs.Error{Kind: structs.KindMalformed, Run: structs.RunNo, Message: "the body is no command (" + err.Error() + "): send number and text as JSON"})
+		writeError(ctx, fasthttp.StatusBadRequest, structs.Error{Kind: structs.KindMalformed, Run: structs.RunNo, Message: "the body is no command (" + err.Error() + "): send number and text as JSON"})
 		return
 	}
 	if c.Number == 0 {
-		fail(ctx, fasthttp.StatusBadRequest, structs.Error{Kind: structs.KindInvalidField, Field: "number", Run: structs.RunNo, Message: "number must be above zero, and new for each command"})
+		writeError(ctx, fasthttp.StatusBadRequest, structs.Error{Kind: structs.KindInvalidField, Field: "number", Run: structs.RunNo, Message: "number must be above zero, and new for each command"})
 		return
 	}
-	work, cancel := context.WithTimeout(a.opts.Work, commandTimeout)
+	reqCtx, cancel := context.WithTimeout(a.opts.Work, commandTimeout)
 	defer cancel()
-	resp, err := a.opts.Control.Command(work, &betweenv1.CommandRequest{Operator: operator, Number: c.Number, Text: c.Text, ExpectRevision: c.ExpectRevision})
+	resp, err := a.opts.Control.Command(reqCtx, &betweenv1.CommandRequest{Operator: operator, Number: c.Number, Text: c.Text, ExpectRevision: c.ExpectRevision})
 	if err != nil {
-		a.failControl(ctx, err)
+		a.writeControlError(ctx, err)
 		return
 	}
 	r := resp.GetResult()
@@ -146,11 +152,11 @@
 }
 
 func (a *Admin) query(ctx *fasthttp.RequestCtx, _ string) {
-	work, cancel := context.WithTimeout(a.opts.Work, commandTimeout)
+	reqCtx, cancel := context.WithTimeout(a.opts.Work, commandTimeout)
 	defer cancel()
-	resp, err := a.opts.Control.Query(work, &betweenv1.QueryRequest{Text: string(ctx.QueryArgs().Peek("q"))})
+	resp, err := a.opts.Control.Query(reqCtx, &betweenv1.QueryRequest{Text: string(ctx.QueryArgs().Peek("q"))})
 	if err != nil {
-		a.failControl(ctx, err)
+		a.writeControlError(ctx, err)
 		return
 	}
 	result := structs.QueryResult{Revision: resp.GetRevision(), Columns: resp.GetColumns(), Rows: [][]string{}}
@@ -160,22 +166,22 @@
 	writeJSON(ctx, fasthttp.StatusOK, result)
 }
 
-// failControl says why control gave no answer, and whether the command may
-// have taken effect all the same.
-func (a *Admin) failControl(ctx *fasthttp.RequestCtx, err error) {
+// writeControlError reports why control sent no result, and whether the command may
+// have taken effect nevertheless.
+func (a *Admin) writeControlError(ctx *fasthttp.RequestCtx, err error) {
 	message := err.Error()
-	var wire *connect.Error
-	if errors.As(err, &wire) {
-		message = wire.Message()
+	var connectErr *connect.Error
+	if errors.As(err, &connectErr) {
+		message = connectErr.Message()
 	}
 	switch connect.CodeOf(err) {
 	case connect.CodeInvalidArgument:
-		fail(ctx, fasthttp.StatusBadRequest, structs.Error{Kind: structs.KindSyntax, Run: structs.RunNo, Message: message})
+		writeError(ctx, fasthttp.StatusBadRequest, structs.Error{Kind: structs.KindSyntax, Run: structs.RunNo, Message: message})
 	case connect.CodeUnavailable:
-		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.Itoa(int(math.Ceil(retryLeader.Seconds()))))
-		fail(ctx, fasthttp.StatusServiceUnavailable, structs.Error{Kind: structs.KindNoLeader, Run: structs.RunUnknown, RetryAfter: retryLeader.Seconds(), Message: "no control box leads at the moment (" + message + "): send it again under the same number"})
+		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.Itoa(int(math.Ceil(leaderRetryAfter.Seconds()))))
+		writeError(ctx, fasthttp.StatusServiceUnavailable, structs.Error{Kind: structs.KindNoLeader, Run: structs.RunUnknown, RetryAfter: leaderRetryAfter.Seconds(), Message: "no control box leads at the moment (" + message + "): send it again under the same number"})
 	default:
-		fail(ctx, fasthttp.StatusGatewayTimeout, structs.Error{Kind: structs.KindOutcomeUnknown, Run: structs.RunUnknown, RetryAfter: retryLeader.Seconds(), Message: message + ": send it again under the same number"})
+		writeError(ctx, fasthttp.StatusGatewayTimeout, structs.Error{Kind: structs.KindOutcomeUnknown, Run: structs.RunUnknown, RetryAfter: leaderRetryAfter.Seconds(), Message: message + ": send it again under the same number"})
 	}
 }
 
@@ -187,8 +193,8 @@
 	writeJSON(ctx, fasthttp.StatusOK, a.opts.Box.Status())
 }
 
-// explanation is one candidate of a routing decision.
-type explanation struct {
+// candidate is the JSON form of one target's score in a routing decision.
+type candidate struct {
 	Target    string `json:"target"`
 	Reason    string `json:"reason"`
 	Cost      int    `json:"cost"`
@@ -198,14 +204,14 @@
 }
 
 func (a *Admin) explain(ctx *fasthttp.RequestCtx, _ string) {
-	list := []explanation{}
+	candidates := []candidate{}
 	for _, s := range a.opts.Box.Explain(string(ctx.QueryArgs().Peek("model"))) {
-		list = append(list, explanation{Target: s.Target, Reason: string(s.Reason), Cost: s.Cost(), Recompute: s.Recompute, Queued: s.Queued, Decode: s.Decode})
+		candidates = append(candidates, candidate{Target: s.Target, Reason: string(s.Reason), Cost: s.Cost(), Recompute: s.Recompute, Queued: s.Queued, Decode: s.Decode})
 	}
-	writeJSON(ctx, fasthttp.StatusOK, list)
+	writeJSON(ctx, fasthttp.StatusOK, candidates)
 }
 
-func fail(ctx *fasthttp.RequestCtx, status int, e structs.Error) {
+func writeError(ctx *fasthttp.RequestCtx, status int, e structs.Error) {
 	writeJSON(ctx, status, structs.ErrorBody{Error: e})
 }
 
--- a/routers/admin/admin_test.go
+++ b/routers/admin/admin_test.go
@@ -30,28 +30,29 @@
 
 const key = "key-of-an-operator"
 
-// surroundings answer as a test wants.
-type surroundings struct {
-	result *statev1.CommandResult
-	err    error
-	ready  error
-	asked  []*betweenv1.CommandRequest
+// fakeBackend implements Control and Box with results that a test sets, and records the
+// commands it receives.
+type fakeBackend struct {
+	result   *statev1.CommandResult
+	err      error
+	ready    error
+	commands []*betweenv1.CommandRequest
 }
 
-func (s *surroundings) Command(_ context.Context, r *betweenv1.CommandRequest) (*betweenv1.CommandResponse, error) {
-	s.asked = append(s.asked, r)
+func (s *fakeBackend) Command(_ context.Context, r *betweenv1.CommandRequest) (*betweenv1.CommandResponse, error) {
+	s.commands = append(s.commands, r)
 	return &betweenv1.CommandResponse{Result: s.result}, s.err
 }
 
-func (s *surroundings) Query(context.Context, *betweenv1.QueryRequest) (*betweenv1.QueryResponse, error) {
+func (s *fakeBackend) Query(context.Context, *betweenv1.QueryRequest) (*betweenv1.QueryResponse, error) {
 	return &betweenv1.QueryResponse{Revision: 7, Columns: []string{"a"}, Rows: []*betweenv1.QueryRow{{Cells: []string{"1"}}}}, s.err
 }
 
-func (s *surroundings) Status() structs.BoxStatus     { return structs.BoxStatus{Box: "box-1"} }
-func (s *surroundings) Ready() error                  { return s.ready }
-func (s *surroundings) Explain(string) []target.Score { return nil }
+func (s *fakeBackend) Status() structs.BoxStatus     { return structs.BoxStatus{Box: "box-1"} }
+func (s *fakeBackend) Ready() error                  { return s.ready }
+func (s *fakeBackend) Explain(string) []target.Score { return nil }
 
-func serve(t *testing.T, s *surroundings) string {
+func serve(t *testing.T, s *fakeBackend) string {
 	t.Helper()
 	a := admin.New(admin.Options{
 		Control: s, Box: s, Operators: map[string]string{digest.Of([]byte(key)): "anna"}, Registry: prometheus.NewRegistry(),
@@ -66,48 +67,48 @@
 	return "http://" + l.Addr().String()
 }
 
-// TestContract says what an operator gets for each kind of request and of
-// answer from control.
-func TestContract(t *testing.T) {
+// TestResponses checks the status and error that an operator gets for each kind of
+// request and of result from control.
+func TestResponses(t *testing.T) {
 	wire := func(code connect.Code) error { return connect.NewError(code, errors.New("why")) }
 	command := `{"number":5,"text":"drain target e"}`
 	tests := map[string]struct {
 		method, path, body string
-		noKey              bool
-		control            surroundings
+		withoutKey         bool
+		backend            fakeBackend
 		status             int
 		kind               structs.Kind
 		run                structs.Run
-		asked              int
+		commands           int
 	}{
-		"accepted":              {"POST", "/admin/v1/commands", command, false, surroundings{result: &statev1.CommandResult{Number: 5, Revision: 3}}, 200, "", "", 1},
-		"refused":               {"POST", "/admin/v1/commands", command, false, surroundings{result: &statev1.CommandResult{Number: 5, Refusal: "exists"}}, 409, "", "", 1},
-		"without a key":         {"POST", "/admin/v1/commands", command, true, surroundings{}, 401, structs.KindWrongKey, structs.RunNo, 0},
-		"no JSON":               {"POST", "/admin/v1/commands", `grant`, false, surroundings{}, 400, structs.KindMalformed, structs.RunNo, 0},
-		"no number":             {"POST", "/admin/v1/commands", `{"text":"drain target e"}`, false, surroundings{}, 400, structs.KindInvalidField, structs.RunNo, 0},
-		"negative number":       {"POST", "/admin/v1/commands", `{"number":-1,"text":"x"}`, false, surroundings{}, 400, structs.KindMalformed, structs.RunNo, 0},
-		"does not parse":        {"POST", "/admin/v1/commands", command, false, surroundings{err: wire(connect.CodeInvalidArgument)}, 400, structs.KindSyntax, structs.RunNo, 1},
-		"no leader":             {"POST", "/admin/v1/commands", command, false, surroundings{err: wire(connect.CodeUnavailable)}, 503, structs.KindNoLeader, structs.RunUnknown, 1},
-		"leader died meanwhile": {"POST", "/admin/v1/commands", command, false, surroundings{err: wire(connect.CodeAborted)}, 504, structs.KindOutcomeUnknown, structs.RunUnknown, 1},
-		"too late":              {"POST", "/admin/v1/commands", command, false, surroundings{err: wire(connect.CodeDeadlineExceeded)}, 504, structs.KindOutcomeUnknown, structs.RunUnknown, 1},
-		"query":                 {"GET", "/admin/v1/query?q=show+groups", "", false, surroundings{}, 200, "", "", 0},
-		"query without a key":   {"GET", "/admin/v1/query?q=show+groups", "", true, surroundings{}, 401, structs.KindWrongKey, structs.RunNo, 0},
-		"bad query":             {"GET", "/admin/v1/query?q=x", "", false, surroundings{err: wire(connect.CodeInvalidArgument)}, 400, structs.KindSyntax, structs.RunNo, 0},
-		"events":                {"GET", "/admin/v1/events?request=x", "", false, surroundings{}, 200, "", "", 0},
-		"events without a key":  {"GET", "/admin/v1/events", "", true, surroundings{}, 401, structs.KindWrongKey, structs.RunNo, 0},
-		"status":                {"GET", "/admin/v1/status", "", false, surroundings{}, 200, "", "", 0},
-		"alive":                 {"GET", "/healthz", "", true, surroundings{ready: errors.New("stopping")}, 200, "", "", 0},
-		"ready":                 {"GET", "/readyz", "", true, surroundings{}, 200, "", "", 0},
-		"not ready":             {"GET", "/readyz", "", true, surroundings{ready: errors.New("stopping")}, 503, "", "", 0},
-		"metrics":               {"GET", "/metrics", "", true, surroundings{}, 200, "", "", 0},
+		"accepted":             {"POST", "/admin/v1/commands", command, false, fakeBackend{result: &statev1.CommandResult{Number: 5, Revision: 3}}, 200, "", "", 1},
+		"refused":              {"POST", "/admin/v1/commands", command, false, fakeBackend{result: &statev1.CommandResult{Number: 5, Refusal: "exists"}}, 409, "", "", 1},
+		"without a key":        {"POST", "/admin/v1/commands", command, true, fakeBackend{}, 401, structs.KindWrongKey, structs.RunNo, 0},
+		"invalid JSON":         {"POST", "/admin/v1/commands", `grant`, false, fakeBackend{}, 400, structs.KindMalformed, structs.RunNo, 0},
+		"no number":            {"POST", "/admin/v1/commands", `{"text":"drain target e"}`, false, fakeBackend{}, 400, structs.KindInvalidField, structs.RunNo, 0},
+		"negative number":      {"POST", "/admin/v1/commands", `{"number":-1,"text":"x"}`, false, fakeBackend{}, 400, structs.KindMalformed, structs.RunNo, 0},
+		"syntax error":         {"POST", "/admin/v1/commands", command, false, fakeBackend{err: wire(connect.CodeInvalidArgument)}, 400, structs.KindSyntax, structs.RunNo, 1},
+		"no leader":            {"POST", "/admin/v1/commands", command, false, fakeBackend{err: wire(connect.CodeUnavailable)}, 503, structs.KindNoLeader, structs.RunUnknown, 1},
+		"leader lost":          {"POST", "/admin/v1/commands", command, false, fakeBackend{err: wire(connect.CodeAborted)}, 504, structs.KindOutcomeUnknown, structs.RunUnknown, 1},
+		"timeout":              {"POST", "/admin/v1/commands", command, false, fakeBackend{err: wire(connect.CodeDeadlineExceeded)}, 504, structs.KindOutcomeUnknown, structs.RunUnknown, 1},
+		"query":                {"GET", "/admin/v1/query?q=show+groups", "", false, fakeBackend{}, 200, "", "", 0},
+		"query without a key":  {"GET", "/admin/v1/query?q=show+groups", "", true, fakeBackend{}, 401, structs.KindWrongKey, structs.RunNo, 0},
+		"bad query":            {"GET", "/admin/v1/query?q=x", "", false, fakeBackend{err: wire(connect.CodeInvalidArgument)}, 400, structs.KindSyntax, structs.RunNo, 0},
+		"events":               {"GET", "/admin/v1/events?request=x", "", false, fakeBackend{}, 200, "", "", 0},
+		"events without a key": {"GET", "/admin/v1/events", "", true, fakeBackend{}, 401, structs.KindWrongKey, structs.RunNo, 0},
+		"status":               {"GET", "/admin/v1/status", "", false, fakeBackend{}, 200, "", "", 0},
+		"alive":                {"GET", "/healthz", "", true, fakeBackend{ready: errors.New("stopping")}, 200, "", "", 0},
+		"ready":                {"GET", "/readyz", "", true, fakeBackend{}, 200, "", "", 0},
+		"not ready":            {"GET", "/readyz", "", true, fakeBackend{ready: errors.New("stopping")}, 503, "", "", 0},
+		"metrics":              {"GET", "/metrics", "", true, fakeBackend{}, 200, "", "", 0},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			req, err := http.NewRequest(test.method, serve(t, &test.control)+test.path, strings.NewReader(test.body))
+			req, err := http.NewRequest(test.method, serve(t, &test.backend)+test.path, strings.NewReader(test.body))
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !test.noKey {
+			if !test.withoutKey {
 				req.Header.Set("Authorization", "Bearer "+key)
 			}
 			resp, err := http.DefaultTransport.RoundTrip(req)
@@ -121,11 +122,11 @@
 			}
 			var body structs.ErrorBody
 			_ = json.Unmarshal(data, &body)
-			if resp.StatusCode != test.status || body.Error.Kind != test.kind || body.Error.Run != test.run || len(test.control.asked) != test.asked {
-				t.Errorf("got %d %q run %q, control asked %d times: %s", resp.StatusCode, body.Error.Kind, body.Error.Run, len(test.control.asked), data)
+			if resp.StatusCode != test.status || body.Error.Kind != test.kind || body.Error.Run != test.run || len(test.backend.commands) != test.commands {
+				t.Errorf("got %d %q run %q, control received %d commands: %s", resp.StatusCode, body.Error.Kind, body.Error.Run, len(test.backend.commands), data)
 			}
-			if test.asked == 1 && (test.control.asked[0].GetOperator() != "anna" || test.control.asked[0].GetNumber() != 5) {
-				t.Errorf("control was asked %v", test.control.asked[0])
+			if test.commands == 1 && (test.backend.commands[0].GetOperator() != "anna" || test.backend.commands[0].GetNumber() != 5) {
+				t.Errorf("control received %v", test.backend.commands[0])
 			}
 		})
 	}
--- a/routers/between/draws.go
+++ b/routers/between/draws.go
@@ -14,20 +14,20 @@
 	"havenwinch.dev/havenwinch/services/gateway"
 )
 
-// NewDraws returns the handler of an entry box whose leases others draw on.
+// NewDraws returns the handler of an entry box on whose leases other boxes may draw.
 func NewDraws(leases *gateway.Leases, opts []connect.HandlerOption) http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle(betweenv1connect.NewDrawServiceHandler(&drawCalls{leases}, opts...))
+	mux.Handle(betweenv1connect.NewDrawServiceHandler(&drawServer{leases}, opts...))
 	return mux
 }
 
-type drawCalls struct{ leases *gateway.Leases }
+type drawServer struct{ leases *gateway.Leases }
 
-func (d *drawCalls) Draw(ctx context.Context, r *connect.Request[betweenv1.DrawRequest]) (*connect.Response[betweenv1.DrawResponse], error) {
+func (d *drawServer) Draw(ctx context.Context, r *connect.Request[betweenv1.DrawRequest]) (*connect.Response[betweenv1.DrawResponse], error) {
 	return connect.NewResponse(d.leases.Draw(ctx, r.Msg)), nil
 }
 
-func (d *drawCalls) Settle(_ context.Context, r *connect.Request[betweenv1.SettleDrawsRequest]) (*connect.Response[betweenv1.SettleDrawsResponse], error) {
+func (d *drawServer) Settle(_ context.Context, r *connect.Request[betweenv1.SettleDrawsRequest]) (*connect.Response[betweenv1.SettleDrawsResponse], error) {
 	d.leases.SettleDraws(r.Msg)
 	return connect.NewResponse(&betweenv1.SettleDrawsResponse{}), nil
 }
--- a/routers/between/gateway.go
+++ b/routers/between/gateway.go
@@ -16,13 +16,14 @@
 	"havenwinch.dev/havenwinch/services/gateway"
 )
 
-// GatewayOptions name what a control box serves to boxes that pass calls
-// through.
+// GatewayOptions are the parts of a control box that serve entry boxes which forward
+// calls unchanged.
 type GatewayOptions struct {
-	Nodes   Nodes
+	Nodes   NodeProvider
 	Gateway *control.Gateway
-	// Source is where followers are served from.
+	// Source provides the routing table and the targets for Follow.
 	Source   gateway.Source
+	// Stopping is canceled at shutdown, which ends the streams of Follow.
 	Stopping context.Context
 	Handler  []connect.HandlerOption
 }
@@ -30,14 +31,14 @@
 // NewGateway returns the handler of a control box.
 func NewGateway(opts GatewayOptions) http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle(betweenv1connect.NewConsensusServiceHandler(&consensus{opts.Nodes}, opts.Handler...))
-	mux.Handle(betweenv1connect.NewGatewayServiceHandler(&gatewayCalls{opts}, opts.Handler...))
+	mux.Handle(betweenv1connect.NewConsensusServiceHandler(&consensusServer{opts.Nodes}, opts.Handler...))
+	mux.Handle(betweenv1connect.NewGatewayServiceHandler(&gatewayServer{opts}, opts.Handler...))
 	return mux
 }
 
-type gatewayCalls struct{ opts GatewayOptions }
+type gatewayServer struct{ opts GatewayOptions }
 
-func (g *gatewayCalls) Follow(ctx context.Context, r *connect.Request[betweenv1.FollowRequest], stream *connect.ServerStream[betweenv1.FollowResponse]) error {
+func (g *gatewayServer) Follow(ctx context.Context, r *connect.Request[betweenv1.FollowRequest], stream *connect.ServerStream[betweenv1.FollowResponse]) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	stop := context.AfterFunc(g.opts.Stopping, cancel)
@@ -45,29 +46,29 @@
 	return gateway.Serve(ctx, g.opts.Source, r.Msg, stream.Send)
 }
 
-func (g *gatewayCalls) Lease(ctx context.Context, r *connect.Request[betweenv1.LeaseRequest]) (*connect.Response[betweenv1.LeaseResponse], error) {
+func (g *gatewayServer) Lease(ctx context.Context, r *connect.Request[betweenv1.LeaseRequest]) (*connect.Response[betweenv1.LeaseResponse], error) {
 	answer, err := g.opts.Gateway.Lease(ctx, r.Msg)
-	return reply(answer, err, wireUnknown)
+	return respond(answer, err, gatewayError)
 }
 
-func (g *gatewayCalls) Submit(ctx context.Context, r *connect.Request[betweenv1.SubmitRequest]) (*connect.Response[betweenv1.SubmitResponse], error) {
+func (g *gatewayServer) Submit(ctx context.Context, r *connect.Request[betweenv1.SubmitRequest]) (*connect.Response[betweenv1.SubmitResponse], error) {
 	e := r.Msg.GetEntry()
 	err := g.opts.Gateway.Submit(ctx, e)
-	return reply(&betweenv1.SubmitResponse{ReportNumber: e.GetReportCalls().GetNumber()}, err, wireUnknown)
+	return respond(&betweenv1.SubmitResponse{ReportNumber: e.GetReportCalls().GetNumber()}, err, gatewayError)
 }
 
-func (g *gatewayCalls) ReadRouting(ctx context.Context, _ *connect.Request[betweenv1.ReadRoutingRequest]) (*connect.Response[betweenv1.ReadRoutingResponse], error) {
+func (g *gatewayServer) ReadRouting(ctx context.Context, _ *connect.Request[betweenv1.ReadRoutingRequest]) (*connect.Response[betweenv1.ReadRoutingResponse], error) {
 	answer, err := g.opts.Gateway.ReadRouting()
-	return reply(answer, err, wireUnknown)
+	return respond(answer, err, gatewayError)
 }
 
-func (g *gatewayCalls) ReadClock(context.Context, *connect.Request[betweenv1.ReadClockRequest]) (*connect.Response[betweenv1.ReadClockResponse], error) {
+func (g *gatewayServer) ReadClock(context.Context, *connect.Request[betweenv1.ReadClockRequest]) (*connect.Response[betweenv1.ReadClockResponse], error) {
 	return connect.NewResponse(g.opts.Gateway.ReadClock()), nil
 }
 
-// wireUnknown gives an outcome that is not known the code for asking again:
-// all calls of this service may be repeated.
-func wireUnknown(err error) error {
+// gatewayError converts an error. An unknown outcome gets the code Unavailable, so that
+// clients try again: all calls of this service are idempotent.
+func gatewayError(err error) error {
 	if raft.IsErrOutcomeUnknown(err) {
 		return unavailable(err)
 	}
--- a/routers/between/reports_test.go
+++ b/routers/between/reports_test.go
@@ -20,29 +20,29 @@
 	"havenwinch.dev/havenwinch/services/gateway"
 )
 
-// A box learns the number of its report on both ways to control: without it the box
-// would keep what it reported until its time is over, also after a release.
-func TestReportsAreNumbered(t *testing.T) {
+// Both RPCs that submit a report of calls must return its number. Without it the box
+// would keep its reported calls quarantined until they expire, even after a release.
+func TestReportCallsReturnsNumber(t *testing.T) {
 	machine := control.NewMachine()
 	log, c, logger := controltest.Log{Machine: machine}, clock.NewFake(), logging.Discard()
 	mux := http.NewServeMux()
 	mux.Handle("/gateway/", http.StripPrefix("/gateway", NewGateway(GatewayOptions{
 		Gateway: &control.Gateway{Log: log, Machine: machine, Clock: c, Logger: logger}, Stopping: context.Background(),
 	})))
-	path, handler := betweenv1connect.NewControlServiceHandler(&controller{service: control.New(control.Options{Log: log, Machine: machine, Clock: c, Logger: logger})})
+	path, handler := betweenv1connect.NewControlServiceHandler(&controlServer{service: control.New(control.Options{Log: log, Machine: machine, Clock: c, Logger: logger})})
 	mux.Handle(path, handler)
 	server := httptest.NewServer(mux)
 	defer server.Close()
 
-	boxes := gateway.NewClient([]string{"control"}, func(string) betweenv1connect.GatewayServiceClient {
+	gatewayClient := gateway.NewClient([]string{"control"}, func(string) betweenv1connect.GatewayServiceClient {
 		return betweenv1connect.NewGatewayServiceClient(server.Client(), server.URL+"/gateway")
 	})
-	callers := control.NewClient([]string{"control"}, map[string]betweenv1connect.ControlServiceClient{
+	controlClient := control.NewClient([]string{"control"}, map[string]betweenv1connect.ControlServiceClient{
 		"control": betweenv1connect.NewControlServiceClient(server.Client(), server.URL),
 	})
 	cases := map[string]func(context.Context, *statev1.ReportCalls) error{
-		"box that passes calls through": boxes.ReportCalls,
-		"box with keys":                 callers.ReportCalls,
+		"GatewayService": gatewayClient.ReportCalls,
+		"ControlService": controlClient.ReportCalls,
 	}
 	for name, report := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -51,10 +51,10 @@
 			if err := report(t.Context(), r); err != nil {
 				t.Fatal(err)
 			}
-			var counted uint64
-			machine.Read(func(s *state.State) { counted = s.Quarantine.Reports() })
-			if r.GetNumber() == 0 || r.GetNumber() != counted {
-				t.Fatalf("number %d, control has counted up to %d", r.GetNumber(), counted)
+			var reports uint64
+			machine.Read(func(s *state.State) { reports = s.Quarantine.Reports() })
+			if r.GetNumber() == 0 || r.GetNumber() != reports {
+				t.Fatalf("got number %d, want %d, the number of reports at control", r.GetNumber(), reports)
 			}
 		})
 	}
--- a/structs/structs.go
+++ b/structs/structs.go
@@ -1,24 +1,25 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package structs holds the types of the HTTP interfaces for callers and
-// operators. They are apart from the stored ones, so that either can change.
+// Package structs holds the JSON types of the HTTP APIs for callers and operators. They
+// are separate from the stored types, so that either can change without the other.
 package structs
 
-// Run says whether a request was run.
+// Run says whether a target has executed a request.
 type Run string
 
-// What can be known about a run.
+// Values of Run.
 const (
 	RunNo      Run = "no"
 	RunYes     Run = "yes"
 	RunUnknown Run = "unknown"
 )
 
-// Kind names a refusal. Kinds never change their meaning.
+// Kind is the error code of a refusal. Clients rely on it: the meaning of a code never
+// changes.
 type Kind string
 
-// Kinds of refusals and errors towards callers and operators.
+// Error codes sent to callers and operators.
 const (
 	KindNoKey             Kind = "no_access_key"
 	KindWrongKey          Kind = "wrong_access_key"
@@ -58,35 +59,35 @@
 	Error Error `json:"error"`
 }
 
-// Error says what went wrong and what to do about it.
+// Error describes what went wrong and what the client can do about it.
 type Error struct {
 	Kind    Kind   `json:"kind"`
 	Message string `json:"message"`
-	// Field is the name of the faulty field, if one is to blame.
+	// Field is the name of the invalid field, if the error is about one.
 	Field string `json:"field,omitempty"`
-	// Run says whether the request was run.
+	// Run says whether the request was executed.
 	Run       Run    `json:"run"`
 	RequestID string `json:"request_id,omitempty"`
-	// RetryAfter is in seconds, zero when asking again does not help.
+	// RetryAfter is in seconds; zero if retrying does not help.
 	RetryAfter float64 `json:"retry_after,omitempty"`
-	// Billed is what the request cost, in tokens.
+	// Billed is the number of tokens charged for the request.
 	Billed uint64 `json:"billed"`
 }
 
-// Message is one message of a chat.
+// Message is one message of a chat conversation.
 type Message struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// ChatRequest is the part of POST /v1/chat/completions that the system reads;
-// the rest of the body goes to the engine as it came.
+// ChatRequest is the part of the body of POST /v1/chat/completions that is parsed here.
+// The engine receives the body unchanged.
 type ChatRequest struct {
 	Model     string    `json:"model"`
 	Messages  []Message `json:"messages"`
 	Stream    bool      `json:"stream"`
 	MaxTokens *int64    `json:"max_tokens"`
-	// MaxCompletionTokens is the newer name of MaxTokens.
+	// MaxCompletionTokens is the name that replaces MaxTokens in newer clients.
 	MaxCompletionTokens *int64 `json:"max_completion_tokens"`
 	N                   *int64 `json:"n"`
 }
@@ -105,13 +106,13 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// ModelList is the answer of GET /v1/models.
+// ModelList is the response of GET /v1/models.
 type ModelList struct {
 	Object string  `json:"object"`
 	Data   []Model `json:"data"`
 }
 
-// RequestStatus is the answer of GET /v1/requests/{key}.
+// RequestStatus is the response of GET /v1/requests/{key}.
 type RequestStatus struct {
 	Key string `json:"key"`
 	// State is reserved, started, done, released, voided or unknown.
@@ -122,7 +123,7 @@
 	WrittenOff uint64 `json:"written_off,omitempty"`
 	Target     string `json:"target,omitempty"`
 	Model      string `json:"model,omitempty"`
-	// AnswerAt is where the answer can be fetched, if it is kept.
+	// AnswerAt is the place to fetch the answer from, if it is still stored.
 	AnswerAt string `json:"answer_at,omitempty"`
 }
 
@@ -130,30 +131,31 @@
 type Command struct {
 	Number uint64 `json:"number"`
 	Text   string `json:"text"`
-	// ExpectRevision, when not zero, makes the command conditional.
+	// ExpectRevision, if not zero, is the revision of the configuration at which alone
+	// the command takes effect.
 	ExpectRevision uint64 `json:"expect_revision,omitempty"`
 }
 
-// CommandResult is the answer to a command.
+// CommandResult is the response to a command.
 type CommandResult struct {
 	Operator string `json:"operator"`
 	Number   uint64 `json:"number"`
-	// Refusal is empty when the command took effect.
+	// Refusal is the code of the refusal, empty if the command took effect.
 	Refusal  string `json:"refusal,omitempty"`
 	Message  string `json:"message"`
 	Revision uint64 `json:"revision"`
 }
 
-// QueryResult is the answer to a query.
+// QueryResult is the response to a query.
 type QueryResult struct {
 	Revision uint64     `json:"revision"`
 	Columns  []string   `json:"columns"`
 	Rows     [][]string `json:"rows"`
 }
 
-// Event is one entry of a box's time line.
+// Event is one entry of a box's event timeline.
 type Event struct {
-	// Stamp is a hybrid logical time, "milliseconds.counter".
+	// Stamp is a hybrid logical clock timestamp, "milliseconds.counter".
 	Stamp      string `json:"stamp"`
 	Box        string `json:"box"`
 	DataCentre string `json:"data_centre"`
@@ -162,7 +164,7 @@
 	Detail     string `json:"detail,omitempty"`
 }
 
-// BoxStatus is the answer of GET /admin/v1/status.
+// BoxStatus is the response of GET /admin/v1/status.
 type BoxStatus struct {
 	Box        string   `json:"box"`
 	DataCentre string   `json:"data_centre"`
@@ -170,8 +172,8 @@
 	Version    string   `json:"version"`
 	Ready      bool     `json:"ready"`
 	Reason     string   `json:"reason,omitempty"`
-	// Revision of the configuration in force here, and the seconds since a
-	// control box last confirmed it.
+	// Revision is the revision of the configuration active on this box, Confirmed the
+	// number of seconds since a control box last confirmed it.
 	Revision  uint64         `json:"revision"`
 	Confirmed float64        `json:"confirmed_seconds_ago"`
 	Control   *ControlStatus `json:"control,omitempty"`
@@ -179,7 +181,7 @@
 	Keeper    *KeeperStatus  `json:"keeper,omitempty"`
 }
 
-// ControlStatus is a control box's place in its group.
+// ControlStatus is a control box's state in the Raft group.
 type ControlStatus struct {
 	Role   string `json:"role"`
 	Term   uint64 `json:"term"`
@@ -188,7 +190,7 @@
 	Member bool   `json:"member"`
 }
 
-// EntryStatus is what an entry box is doing.
+// EntryStatus is the load of an entry box and its view of the targets.
 type EntryStatus struct {
 	Running int            `json:"running"`
 	Queued  int            `json:"queued"`
@@ -203,11 +205,13 @@
 	Load     int    `json:"reported_load"`
 }
 
-// KeeperStatus is what a keeper holds.
+// KeeperStatus is the size and state of a keeper's ledger.
 type KeeperStatus struct {
+	// Holder is the name of the ledger, "box@incarnation".
 	Holder  string `json:"holder"`
 	Budgets int    `json:"budgets"`
 	Records int    `json:"records"`
-	Open    int    `json:"open"`
-	Error   string `json:"error,omitempty"`
+	// Open is the number of records of requests that have not ended.
+	Open  int    `json:"open"`
+	Error string `json:"error,omitempty"`
 }
