--- a/modules/http1/http1.go
+++ b/modules/http1/http1.go
@@ -1,11 +1,11 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package http1 looks at heads of HTTP/1.1 as a strict reader does, before a library reads
-// them. The libraries take more than the protocol allows (RFC 9112): bare line ends, folded
-// lines, blanks in and after names, a length beside a coding. What one reader takes for a
-// field or a length another one takes for something else: behind such a head a request can
-// be hidden in another one, and an answer can be taken for another's.
+// Package http1 validates the heads of HTTP/1.1 messages strictly before a library
+// parses them. The libraries accept more than RFC 9112 allows: bare line ends, folded
+// lines, blanks in and after field names, a length beside a transfer coding. Where two
+// parsers disagree on a field or a length, a request can be smuggled within another one,
+// and an answer can be taken for that of another request.
 package http1
 
 import (
@@ -17,50 +17,51 @@
 )
 
 const (
-	// leastStatus and mostStatus bound the statuses of answers; switching is the status of
-	// a change of protocol, which nobody here asks for.
-	leastStatus = 100
-	mostStatus  = 599
-	switching   = 101
-	// mostDigits bounds the digits of a number, which then fits 64 bits.
-	mostDigits = 18
-	// shown bounds the bytes of a head that an error shows.
-	shown = 32
+	// minStatus and maxStatus bound the statuses of answers. statusSwitchingProtocols is
+	// rejected, since no request that is forwarded asks for an upgrade.
+	minStatus                = 100
+	maxStatus                = 599
+	statusSwitchingProtocols = 101
+	// maxDigits bounds the digits of a number, so that it fits into 64 bits.
+	maxDigits = 18
+	// maxShownBytes bounds the bytes of a head that an error message quotes.
+	maxShownBytes = 32
 )
 
-// ErrHead says why a head is none of HTTP/1.1 that every reader takes the same way.
-type ErrHead struct{ Reason string }
+// ErrMalformedHead is the error for a head that violates HTTP/1.1, or that parsers may
+// interpret in different ways.
+type ErrMalformedHead struct{ Reason string }
 
-func (e ErrHead) Error() string { return "the head is not sound HTTP/1.1: " + e.Reason }
+func (e ErrMalformedHead) Error() string { return "the head is not sound HTTP/1.1: " + e.Reason }
 
-// IsErrHead tells whether an error is a head that is not sound.
-func IsErrHead(err error) bool {
-	var e ErrHead
+// IsErrMalformedHead reports whether an error is an ErrMalformedHead.
+func IsErrMalformedHead(err error) bool {
+	var e ErrMalformedHead
 	return errors.As(err, &e)
 }
 
-// ErrTooLong says that a head is longer than the reader's buffer.
-type ErrTooLong struct{ Most int }
+// ErrHeadTooLong is the error for a head that does not fit into the reader's buffer.
+type ErrHeadTooLong struct{ MaxBytes int }
 
-func (e ErrTooLong) Error() string {
-	return fmt.Sprintf("the head is longer than %d bytes: send fewer or shorter fields", e.Most)
+func (e ErrHeadTooLong) Error() string {
+	return fmt.Sprintf("the head is longer than %d bytes: send fewer or shorter fields", e.MaxBytes)
 }
 
-// IsErrTooLong tells whether an error is a head that is too long.
-func IsErrTooLong(err error) bool {
-	var e ErrTooLong
+// IsErrHeadTooLong reports whether an error is an ErrHeadTooLong.
+func IsErrHeadTooLong(err error) bool {
+	var e ErrHeadTooLong
 	return errors.As(err, &e)
 }
 
-func unsound(format string, args ...any) error {
-	return errors.WithStack(ErrHead{Reason: fmt.Sprintf(format, args...)})
+func malformed(format string, args ...any) error {
+	return errors.WithStack(ErrMalformedHead{Reason: fmt.Sprintf(format, args...)})
 }
 
-// Framing says where the body ends that follows a head.
+// Framing says how the end of the body that follows a head is found.
 type Framing struct {
-	// Chunked says that the body comes in chunks, Sized that Length is its length in
-	// bytes. With neither a request has no body, and that of an answer ends with its
-	// connection.
+	// Chunked means chunked transfer coding, Sized that Length is the number of bytes.
+	// With neither, a request has no body, and the body of an answer ends when the
+	// connection is closed.
 	Chunked bool
 	Sized   bool
 	Length  int64
@@ -71,27 +72,27 @@
 	lineEnd = []byte("\r\n")
 )
 
-// Peek returns the next head with its end, which stays in the buffer. One that does not fit
-// there is an ErrTooLong.
+// Peek returns the next head, including the empty line that ends it, without consuming
+// it. A head that does not fit into the buffer is an ErrHeadTooLong.
 func Peek(r *bufio.Reader) ([]byte, error) {
 	for seen := 0; ; {
 		if _, err := r.Peek(seen + 1); err != nil {
 			if errors.Is(err, bufio.ErrBufferFull) {
-				return nil, errors.WithStack(ErrTooLong{Most: r.Size()})
+				return nil, errors.WithStack(ErrHeadTooLong{MaxBytes: r.Size()})
 			}
 			return nil, err
 		}
-		// What is buffered can be had without an error.
+		// Peeking at bytes that are already buffered can't fail.
 		p, _ := r.Peek(r.Buffered())
-		if at := bytes.Index(p[max(0, seen-len(headEnd)):], headEnd); at >= 0 {
-			return p[:max(0, seen-len(headEnd))+at+len(headEnd)], nil
+		if i := bytes.Index(p[max(0, seen-len(headEnd)):], headEnd); i >= 0 {
+			return p[:max(0, seen-len(headEnd))+i+len(headEnd)], nil
 		}
 		seen = len(p)
 	}
 }
 
-// SkipLine passes over an empty line before a request, as RFC 9112, 2.2 asks of a server.
-func SkipLine(r *bufio.Reader) error {
+// SkipEmptyLine skips an empty line before a request, as RFC 9112, 2.2 asks of servers.
+func SkipEmptyLine(r *bufio.Reader) error {
 	p, err := r.Peek(len(lineEnd))
 	if err == nil && bytes.Equal(p, lineEnd) {
 		_, err = r.Discard(len(lineEnd))
@@ -99,7 +100,8 @@
 	return err
 }
 
-// CheckAnswer looks at the head of an answer.
+// CheckAnswer validates the head of an answer, given with the empty line that ends it.
+// An invalid one is an ErrMalformedHead.
 func CheckAnswer(head []byte) (Framing, error) {
 	line, fields, _ := bytes.Cut(head[:len(head)-len(lineEnd)], lineEnd)
 	if err := checkStatusLine(line); err != nil {
@@ -108,7 +110,8 @@
 	return checkFields(fields, nil)
 }
 
-// CheckRequest looks at the head of a request.
+// CheckRequest validates the head of a request, given with the empty line that ends it.
+// An invalid one is an ErrMalformedHead.
 func CheckRequest(head []byte) (Framing, error) {
 	line, fields, _ := bytes.Cut(head[:len(head)-len(lineEnd)], lineEnd)
 	if err := checkRequestLine(line); err != nil {
@@ -117,44 +120,45 @@
 	hosts := 0
 	f, err := checkFields(fields, &hosts)
 	if err == nil && hosts != 1 {
-		err = unsound("it has %d Host fields", hosts)
+		err = malformed("it has %d Host fields", hosts)
 	}
 	return f, err
 }
 
-// checkStatusLine looks at the version and status of an answer.
+// checkStatusLine validates the version, status and reason phrase of an answer.
 func checkStatusLine(line []byte) error {
 	version, rest, _ := bytes.Cut(line, []byte(" "))
 	digits, reason, _ := bytes.Cut(rest, []byte(" "))
-	if !isVersion(version) || len(digits) != 3 || !IsNumber(digits) || !IsValue(reason) || hasHead(reason) {
-		return unsound("%q is no status line", clip(line))
+	if !isVersion(version) || len(digits) != 3 || !IsNumber(digits) || !IsFieldValue(reason) || containsStatusLine(reason) {
+		return malformed("invalid status line %q", truncate(line))
 	}
 	status := int(digits[0]-'0')*100 + int(digits[1]-'0')*10 + int(digits[2]-'0')
-	if status < leastStatus || status > mostStatus || status == switching {
-		return unsound("%d is no status of an answer", status)
+	if status < minStatus || status > maxStatus || status == statusSwitchingProtocols {
+		return malformed("unexpected status %d", status)
 	}
 	return nil
 }
 
-// checkRequestLine looks at the method, target and version of a request.
+// checkRequestLine validates the method, target and version of a request.
 func checkRequestLine(line []byte) error {
 	method, rest, _ := bytes.Cut(line, []byte(" "))
 	target, version, _ := bytes.Cut(rest, []byte(" "))
 	if !IsToken(method) || !isTarget(target) || !isVersion(version) {
-		return unsound("%q is no request line", clip(line))
+		return malformed("%q is no request line", truncate(line))
 	}
 	return nil
 }
 
-// hasHead tells whether a text holds the beginning of another answer: half of an answer in
-// excess came before this one, and the two would be read as one.
-func hasHead(text []byte) bool {
+// containsStatusLine reports whether a text contains a status line. This happens if a
+// target sent an incomplete surplus answer before this one, so that the two would be
+// parsed as one.
+func containsStatusLine(text []byte) bool {
 	for {
-		at := bytes.Index(text, []byte("HTTP/1."))
-		if at < 0 {
+		i := bytes.Index(text, []byte("HTTP/1."))
+		if i < 0 {
 			return false
 		}
-		text = text[at:]
+		text = text[i:]
 		if len(text) >= len("HTTP/1.1 200") && text[8] == ' ' && IsNumber(text[9:12]) {
 			return true
 		}
@@ -166,8 +170,8 @@
 	return string(version) == "HTTP/1.1" || string(version) == "HTTP/1.0"
 }
 
-// isTarget tells whether a text is the target of a request: no blanks and no control
-// characters.
+// isTarget reports whether a text can be the target of a request: it is not empty and
+// has no blanks or control characters.
 func isTarget(target []byte) bool {
 	for _, c := range target {
 		if c <= ' ' || c == 0x7f {
@@ -177,8 +181,8 @@
 	return len(target) > 0
 }
 
-// checkFields looks at the lines of fields, each with its end, and counts those that name
-// the host.
+// checkFields validates field lines, each given with its line end. It counts the Host
+// fields in hosts unless that is nil.
 func checkFields(lines []byte, hosts *int) (Framing, error) {
 	var f Framing
 	for len(lines) > 0 {
@@ -186,34 +190,35 @@
 		lines = rest
 		name, value, found := bytes.Cut(line, []byte(":"))
 		value = bytes.Trim(value, " \t")
-		if !found || !IsToken(name) || !IsValue(value) || hasHead(value) {
-			return f, unsound("%q is no field", clip(line))
+		if !found || !IsToken(name) || !IsFieldValue(value) || containsStatusLine(value) {
+			return f, malformed("%q is no field", truncate(line))
 		}
-		if hosts != nil && isName(name, "host") {
+		if hosts != nil && equalFold(name, "host") {
 			*hosts++
 		}
-		if err := f.take(name, value); err != nil {
+		if err := f.addField(name, value); err != nil {
 			return f, err
 		}
 	}
 	return f, nil
 }
 
-// take looks at a field that may say where the body ends; there is one at most.
-func (f *Framing) take(name, value []byte) error {
-	length, coding := isName(name, "content-length"), isName(name, "transfer-encoding")
+// addField records Content-Length or Transfer-Encoding and ignores other fields. A head
+// may have only one of the two, once.
+func (f *Framing) addField(name, value []byte) error {
+	length, coding := equalFold(name, "content-length"), equalFold(name, "transfer-encoding")
 	switch {
 	case !length && !coding:
 		return nil
 	case f.Sized || f.Chunked:
-		return unsound("it names more than one length or coding")
-	case coding && !isName(value, "chunked"):
-		return unsound("the coding %q is not known", clip(value))
+		return malformed("it names more than one length or coding")
+	case coding && !equalFold(value, "chunked"):
+		return malformed("the coding %q is not known", truncate(value))
 	case coding:
 		f.Chunked = true
 		return nil
 	case !IsNumber(value):
-		return unsound("%q is no length", clip(value))
+		return malformed("%q is no length", truncate(value))
 	}
 	f.Sized = true
 	for _, c := range value {
@@ -222,8 +227,9 @@
 	return nil
 }
 
-// isName tells whether a text is a name, in small letters, in whichever case.
-func isName(text []byte, name string) bool {
+// equalFold reports whether a text equals a name in ASCII, ignoring case. The name must
+// be in lower case.
+func equalFold(text []byte, name string) bool {
 	if len(text) != len(name) {
 		return false
 	}
@@ -238,34 +244,34 @@
 	return true
 }
 
-// IsNumber tells whether a text is digits only, and few enough for 64 bits.
+// IsNumber reports whether a text consists of digits only, and few enough for 64 bits.
 func IsNumber(digits []byte) bool {
 	for _, c := range digits {
 		if c < '0' || c > '9' {
 			return false
 		}
 	}
-	return len(digits) > 0 && len(digits) <= mostDigits
+	return len(digits) > 0 && len(digits) <= maxDigits
 }
 
-func clip(text []byte) []byte { return text[:min(len(text), shown)] }
+func truncate(text []byte) []byte { return text[:min(len(text), maxShownBytes)] }
 
-// Text is a name or value of a field.
+// Text is the type of a field's name or value.
 type Text interface{ ~string | ~[]byte }
 
-// IsToken tells whether a text can be the name of a field (RFC 9110, 5.6.2).
+// IsToken reports whether a text can be the name of a field (RFC 9110, 5.6.2).
 func IsToken[T Text](s T) bool {
 	for i := range len(s) {
-		if !tokenChars[s[i]] {
+		if !isTokenChar[s[i]] {
 			return false
 		}
 	}
 	return len(s) > 0
 }
 
-// IsValue tells whether a text can be the value of a field: no control characters but tabs
-// (RFC 9110, 5.5).
-func IsValue[T Text](s T) bool {
+// IsFieldValue reports whether a text can be the value of a field: no control characters
+// other than tabs (RFC 9110, 5.5).
+func IsFieldValue[T Text](s T) bool {
 	for i := range len(s) {
 		if c := s[i]; c < ' ' && c != '\t' || c == 0x7f {
 			return false
@@ -274,11 +280,11 @@
 	return true
 }
 
-// tokenChars says which bytes may stand in the name of a field.
-var tokenChars = func() (chars [256]bool) {
+// isTokenChar contains, for each byte, whether it may occur in the name of a field.
+var isTokenChar = func() (chars [256]bool) {
 	for c := range chars {
-		letter := c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
-		chars[c] = letter || c < 0x80 && bytes.IndexByte([]byte("!#$%&'*+-.^_`|~"), byte(c)) >= 0
+		alphanumeric := c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
+		chars[c] = alphanumeric || c < 0x80 && bytes.IndexByte([]byte("!#$%&'*+-.^_`|~"), byte(c)) >= 0
 	}
 	return chars
 }()
--- a/modules/reply/head.go
+++ b/modules/reply/head.go
@@ -11,38 +11,39 @@
 	"havenwinch.dev/havenwinch/modules/http1"
 )
 
-// Statuses of final answers.
+// Range of the statuses of final answers.
 const (
-	leastStatus = 200
-	mostStatus  = 599
+	minFinalStatus = 200
+	maxFinalStatus = 599
 )
 
-// ErrHead says what of a head not every reader takes the same way.
+// ErrHead is the error for a head that must not be written, since parsers may interpret
+// it in different ways.
 type ErrHead struct{ Reason string }
 
 func (e ErrHead) Error() string {
-	return "the head can't be passed on: " + e.Reason
+	return "invalid head of an answer: " + e.Reason
 }
 
-// IsErrHead tells whether an error is a head that can't be passed on.
+// IsErrHead reports whether an error is an ErrHead.
 func IsErrHead(err error) bool {
 	var e ErrHead
 	return errors.As(err, &e)
 }
 
-// CheckHead looks whether every reader takes the head of a final answer the same way: a
-// final status, fields whose names are tokens and whose values have no control characters
-// (RFC 9110, 5.5 and 5.6.2).
+// CheckHead returns an ErrHead unless all parsers interpret the head of a final answer
+// alike: it needs a final status, field names that are tokens, and field values without
+// control characters (RFC 9110, 5.5 and 5.6.2).
 func CheckHead(status int, fields []Field) error {
-	if status < leastStatus || status > mostStatus {
-		return errors.WithStack(ErrHead{Reason: fmt.Sprintf("%d is no final status", status)})
+	if status < minFinalStatus || status > maxFinalStatus {
+		return errors.WithStack(ErrHead{Reason: fmt.Sprintf("status %d is not final", status)})
 	}
 	for _, f := range fields {
 		if !http1.IsToken(f.Name) {
-			return errors.WithStack(ErrHead{Reason: fmt.Sprintf("%q is no name of a field", f.Name)})
+			return errors.WithStack(ErrHead{Reason: fmt.Sprintf("invalid field name %q", f.Name)})
 		}
-		if !http1.IsValue(f.Value) {
-			return errors.WithStack(ErrHead{Reason: fmt.Sprintf("field %s has control characters in its value", f.Name)})
+		if !http1.IsFieldValue(f.Value) {
+			return errors.WithStack(ErrHead{Reason: fmt.Sprintf("the value of field %s has control characters", f.Name)})
 		}
 	}
 	return nil
--- a/modules/reply/reply.go
+++ b/modules/reply/reply.go
@@ -1,10 +1,11 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package reply writes the answers of one connection to its caller. An Answer owns all
-// that a caller gets for one request: it has one head, bytes of one body and one end, in
-// this order. What its state doesn't allow is never written, and an answer that could not
-// be finished can't be ended any more, so that no reader takes it for whole.
+// Package reply writes the answers of one connection to its caller. An Answer controls
+// everything that is written for one request: one head, the bytes of one body and one
+// end, in this order. A step that its state does not allow writes nothing, and an answer
+// that could not be completed can no longer be ended, so that no client takes it for
+// complete.
 package reply
 
 import (
@@ -28,18 +29,18 @@
 	Value string
 }
 
-// State is how far an answer has gone.
+// State is the progress of an answer.
 type State int
 
 // States of an answer.
 const (
-	// None says that nothing was written.
+	// None means that nothing has been written, other than 100 Continue.
 	None State = iota
-	// Begun says that a head was written, and perhaps a part of the body.
+	// Begun means that the head has been written, and possibly a part of the body.
 	Begun
-	// Ended says that the whole answer was written.
+	// Ended means that the complete answer has been written.
 	Ended
-	// Broken says that the answer can't become whole: its connection must be closed.
+	// Broken means that the answer can't be completed: its connection must be closed.
 	Broken
 )
 
@@ -47,17 +48,17 @@
 	return [...]string{"nothing sent", "begun", "ended", "broken off"}[s]
 }
 
-// ErrState says that a step was asked for that the state of an answer doesn't allow.
+// ErrState is the error for a step that the state of an answer does not allow.
 type ErrState struct {
 	Step  string
 	State State
 }
 
 func (e ErrState) Error() string {
-	return fmt.Sprintf("an answer that is %q can't %s: close its connection", e.State, e.Step)
+	return fmt.Sprintf("an answer in state %q can't %s: close its connection", e.State, e.Step)
 }
 
-// IsErrState tells whether an error is a step that an answer's state doesn't allow.
+// IsErrState reports whether an error is an ErrState.
 func IsErrState(err error) bool {
 	var e ErrState
 	return errors.As(err, &e)
@@ -65,33 +66,34 @@
 
 // Options configure a Conn.
 type Options struct {
-	// WriteTime is how long a caller may leave bytes unread.
+	// WriteTime is the time within which the caller must accept the bytes of one write.
 	WriteTime time.Duration
-	// Last tells, as a head is written, whether the connection closes after its answer.
+	// Last is called when a head is written, and reports whether the connection will be
+	// closed after this answer.
 	Last func() bool
 }
 
-// Conn writes to one connection. It is not safe for concurrent use.
+// Conn writes the answers of one connection. It is not safe for concurrent use.
 type Conn struct {
-	net  net.Conn
-	w    *bufio.Writer
-	opts Options
-	last *Answer
+	net     net.Conn
+	w       *bufio.Writer
+	opts    Options
+	current *Answer
 }
 
-// NewConn returns the writer of a connection.
+// NewConn returns a Conn that writes to c. The caller remains responsible for closing c.
 func NewConn(c net.Conn, opts Options) *Conn {
 	return &Conn{net: c, w: bufio.NewWriterSize(c, bufferSize), opts: opts}
 }
 
-// Next returns the answer to the next request, of a method. The answer before must have
-// ended: else nothing can be written in this one's place.
+// Next returns the answer to the next request, which has the given method. If the
+// previous answer has not ended, the new one is Broken and nothing can be written to it.
 func (c *Conn) Next(method string) *Answer {
-	a := &Answer{conn: c, head: method == http.MethodHead}
-	if c.last != nil && c.last.state != Ended {
+	a := &Answer{conn: c, isHead: method == http.MethodHead}
+	if c.current != nil && c.current.state != Ended {
 		a.state = Broken
 	}
-	c.last = a
+	c.current = a
 	return a
 }
 
@@ -99,41 +101,42 @@
 type Answer struct {
 	conn  *Conn
 	state State
-	// head says that the request wants no body.
-	head bool
-	// bodyless says that no body follows, chunked that it comes in chunks; else left is
-	// what is still due of it, in bytes.
-	bodyless bool
-	chunked  bool
-	left     int
+	// isHead is true if the request's method is HEAD.
+	isHead bool
+	// bodyless means that no body follows the head, chunked that it is sent in chunks.
+	// Otherwise remaining is the number of bytes still to be written.
+	bodyless  bool
+	chunked   bool
+	remaining int
 }
 
-// State returns how far the answer has gone.
+// State returns the progress of the answer.
 func (a *Answer) State() State { return a.state }
 
-// Continue tells the caller to send the body of its request.
+// Continue writes 100 Continue, which tells the caller to send the body of its request.
 func (a *Answer) Continue() error {
 	if a.state != None {
-		return a.refuse("ask for the request's body")
+		return a.rejectStep("ask for the request's body")
 	}
-	a.conn.limit()
+	a.conn.setWriteDeadline()
 	_, _ = a.conn.w.WriteString("HTTP/1.1 100 Continue\r\n\r\n")
 	return a.flush()
 }
 
-// Begin writes the head; a negative length means that it is not known. A head that not
-// every reader takes the same way is an ErrHead, and nothing is written.
+// Begin writes the head. A negative length means that the length of the body is not
+// known; the body is then sent in chunks. An invalid head is an ErrHead, and nothing is
+// written.
 func (a *Answer) Begin(status int, fields []Field, length int) error {
 	if a.state != None {
-		return a.refuse("have another head")
+		return a.rejectStep("begin")
 	}
 	if err := CheckHead(status, fields); err != nil {
 		return err
 	}
 	a.state = Begun
-	a.bodyless = a.head || status == http.StatusNoContent || status == http.StatusNotModified
-	a.chunked, a.left = length < 0, max(0, length)
-	a.conn.limit()
+	a.bodyless = a.isHead || status == http.StatusNoContent || status == http.StatusNotModified
+	a.chunked, a.remaining = length < 0, max(0, length)
+	a.conn.setWriteDeadline()
 	a.statusLine(status)
 	for _, f := range fields {
 		a.field(f.Name, f.Value)
@@ -149,7 +152,7 @@
 		a.field("Connection", "close")
 	}
 	_, err := a.conn.w.WriteString("\r\n")
-	return a.broken(err)
+	return a.markBroken(err)
 }
 
 func (a *Answer) statusLine(status int) {
@@ -169,39 +172,40 @@
 	_, _ = w.WriteString("\r\n")
 }
 
-// Write sends bytes of the body at once. An answer without a body passes over them.
+// Write sends bytes of the body without buffering them. They are dropped if the answer
+// has no body, as with HEAD, 204 and 304.
 func (a *Answer) Write(p []byte) error {
 	if a.state != Begun {
-		return a.refuse("have bytes of its body")
+		return a.rejectStep("write to its body")
 	}
 	if len(p) == 0 || a.bodyless {
 		return a.flush()
 	}
-	a.conn.limit()
+	a.conn.setWriteDeadline()
 	if a.chunked {
 		_, err := httputil.NewChunkedWriter(a.conn.w).Write(p)
 		if err != nil {
-			return a.broken(err)
+			return a.markBroken(err)
 		}
 		return a.flush()
 	}
-	if len(p) > a.left {
-		return a.refuse("be longer than its length")
+	if len(p) > a.remaining {
+		return a.rejectStep("exceed its Content-Length")
 	}
-	a.left -= len(p)
+	a.remaining -= len(p)
 	if _, err := a.conn.w.Write(p); err != nil {
-		return a.broken(err)
+		return a.markBroken(err)
 	}
 	return a.flush()
 }
 
-// End says that the answer is whole.
+// End completes the answer. It fails if bytes of the announced length are missing.
 func (a *Answer) End() error {
 	if a.state != Begun {
-		return a.refuse("end")
+		return a.rejectStep("end")
 	}
-	if a.left > 0 && !a.bodyless {
-		return a.refuse("end before its length")
+	if a.remaining > 0 && !a.bodyless {
+		return a.rejectStep("end short of its Content-Length")
 	}
 	if a.chunked && !a.bodyless {
 		_, _ = a.conn.w.WriteString("0\r\n\r\n")
@@ -213,8 +217,8 @@
 	return nil
 }
 
-// Whole writes a whole answer.
-func (a *Answer) Whole(status int, fields []Field, body []byte) error {
+// Send writes a complete answer.
+func (a *Answer) Send(status int, fields []Field, body []byte) error {
 	if err := a.Begin(status, fields, len(body)); err != nil {
 		return err
 	}
@@ -224,10 +228,10 @@
 	return a.End()
 }
 
-func (a *Answer) flush() error { return a.broken(a.conn.w.Flush()) }
+func (a *Answer) flush() error { return a.markBroken(a.conn.w.Flush()) }
 
-// broken notes that bytes could not be sent.
-func (a *Answer) broken(err error) error {
+// markBroken sets the state to Broken if err is not nil, and returns err.
+func (a *Answer) markBroken(err error) error {
 	if err == nil {
 		return nil
 	}
@@ -235,9 +239,9 @@
 	return errors.WithStack(err)
 }
 
-// refuse notes a step that the state doesn't allow: whatever was meant, what the caller
-// has is not the whole answer. One that has ended stays whole.
-func (a *Answer) refuse(step string) error {
+// rejectStep returns an ErrState. The state becomes Broken, since what the caller has
+// received is not the intended answer, unless the answer has already ended.
+func (a *Answer) rejectStep(step string) error {
 	err := errors.WithStack(ErrState{Step: step, State: a.state})
 	if a.state != Ended {
 		a.state = Broken
@@ -245,5 +249,5 @@
 	return err
 }
 
-// limit gives the caller time for what is written next.
-func (c *Conn) limit() { _ = c.net.SetWriteDeadline(time.Now().Add(c.opts.WriteTime)) }
+// setWriteDeadline limits the time for the bytes that are written next.
+func (c *Conn) setWriteDeadline() { _ = c.net.SetWriteDeadline(time.Now().Add(c.opts.WriteTime)) }
--- a/modules/reply/reply_test.go
+++ b/modules/reply/reply_test.go
@@ -16,7 +16,7 @@
 	"havenwinch.dev/havenwinch/tests/seeded"
 )
 
-// step is one thing that code asks of an answer.
+// step is one call of a method of Answer.
 type step struct {
 	name string
 	do   func(a *Answer) error
@@ -29,15 +29,15 @@
 	write    = step{"write", func(a *Answer) error { return a.Write([]byte("abc")) }}
 	part     = step{"part", func(a *Answer) error { return a.Write([]byte("a")) }}
 	end      = step{"end", func(a *Answer) error { return a.End() }}
-	whole    = step{"whole", func(a *Answer) error { return a.Whole(500, nil, []byte("no")) }}
+	whole    = step{"whole", func(a *Answer) error { return a.Send(500, nil, []byte("no")) }}
 	interim  = step{"continue", func(a *Answer) error { return a.Continue() }}
-	spoilt   = step{"spoilt head", func(a *Answer) error { return a.Begin(200, []Field{{Name: "A", Value: "b\rc"}}, 3) }}
-	allSteps = []step{begin, stream, empty, write, part, end, whole, interim, spoilt}
+	badHead  = step{"invalid head", func(a *Answer) error { return a.Begin(200, []Field{{Name: "A", Value: "b\rc"}}, 3) }}
+	allSteps = []step{begin, stream, empty, write, part, end, whole, interim, badHead}
 )
 
-// play asks for steps on one connection, a new answer after each that has ended, and
-// returns what a strict reader gets and how many answers ended.
-func play(method string, steps []step) (got []*observe.Answer, ended int, err error) {
+// runSteps runs steps on one connection, with a new answer after each one that has
+// ended. It returns the answers that a strict parser finds and how many have ended.
+func runSteps(method string, steps []step) (got []*observe.Answer, ended int, err error) {
 	near, far := net.Pipe()
 	done := make(chan struct{})
 	go func() {
@@ -46,7 +46,7 @@
 		for {
 			var a *observe.Answer
 			if a, err = o.Answer(method); err != nil {
-				// What comes after it is read, so that the writer is not held up.
+				// The rest is read, too, so that the writer does not block.
 				_ = o.Rest()
 				return
 			}
@@ -74,23 +74,23 @@
 		steps []step
 		state State
 	}{
-		"nothing":                        {state: None},
-		"a length":                       {steps: []step{begin, write}, state: Begun},
-		"ended":                          {steps: []step{begin, write, end}, state: Ended},
-		"ended twice":                    {steps: []step{begin, write, end, end}, state: Ended},
-		"a head after the end":           {steps: []step{begin, write, end, begin}, state: Ended},
-		"bytes after the end":            {steps: []step{begin, write, end, write}, state: Ended},
-		"a second head":                  {steps: []step{stream, write, begin}, state: Broken},
-		"a whole answer within a stream": {steps: []step{stream, write, whole, end}, state: Broken},
-		"ended too early":                {steps: []step{begin, part, end}, state: Broken},
-		"too long":                       {steps: []step{begin, write, part}, state: Broken},
-		"bytes without a head":           {steps: []step{write}, state: Broken},
-		"an end without a head":          {steps: []step{end}, state: Broken},
-		"a question within the answer":   {steps: []step{stream, interim}, state: Broken},
-		"no body":                        {steps: []step{empty, write, end}, state: Ended},
-		"a spoilt head":                  {steps: []step{spoilt}, state: None},
-		"a sound head after a spoilt":    {steps: []step{spoilt, whole}, state: Ended},
-		"an end after a break":           {steps: []step{stream, begin, end}, state: Broken},
+		"no step":                         {state: None},
+		"written up to the length":        {steps: []step{begin, write}, state: Begun},
+		"ended":                           {steps: []step{begin, write, end}, state: Ended},
+		"ended twice":                     {steps: []step{begin, write, end, end}, state: Ended},
+		"head after the end":              {steps: []step{begin, write, end, begin}, state: Ended},
+		"write after the end":             {steps: []step{begin, write, end, write}, state: Ended},
+		"second head":                     {steps: []step{stream, write, begin}, state: Broken},
+		"complete answer within a stream": {steps: []step{stream, write, whole, end}, state: Broken},
+		"ended too early":                 {steps: []step{begin, part, end}, state: Broken},
+		"beyond the length":               {steps: []step{begin, write, part}, state: Broken},
+		"write without a head":            {steps: []step{write}, state: Broken},
+		"end without a head":              {steps: []step{end}, state: Broken},
+		"100 Continue within a stream":    {steps: []step{stream, interim}, state: Broken},
+		"no body":                         {steps: []step{empty, write, end}, state: Ended},
+		"invalid head":                    {steps: []step{badHead}, state: None},
+		"valid head after an invalid one": {steps: []step{badHead, whole}, state: Ended},
+		"end of a broken answer":          {steps: []step{stream, begin, end}, state: Broken},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -116,8 +116,8 @@
 	}
 }
 
-// Whatever is asked of the answers of a connection, in any order, a strict reader gets
-// whole answers and at most one that breaks off; none in chunks is whole before its end.
+// Whatever steps are run, in any order, a strict parser must find complete answers and at
+// most one that is cut off, and no chunked answer may look complete before End.
 func TestRandomSteps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		method := rapid.SampledFrom([]string{http.MethodPost, http.MethodHead}).Draw(t, "method")
@@ -125,20 +125,20 @@
 		for i := range rapid.IntRange(0, 12).Draw(t, "steps") {
 			steps = append(steps, allSteps[rapid.IntRange(0, len(allSteps)-1).Draw(t, fmt.Sprint("step ", i))])
 		}
-		got, ended, err := play(method, steps)
+		got, ended, err := runSteps(method, steps)
 		if observe.IsErrUnreadable(err) {
 			t.Fatal(err)
 		}
-		// The last one may have all the bytes that its head announces, and no end: only
-		// one in chunks ends with a byte of its own.
+		// The last answer may have all bytes that its head announces although End was not
+		// called: only chunked answers have an end marker.
 		if last := len(got) - 1; last >= ended && (last > ended || got[last].Chunked) || last < ended-1 {
-			t.Fatalf("%d answers ended, a reader has %d", ended, len(got))
+			t.Fatalf("%d answers ended, the parser found %d", ended, len(got))
 		}
 	})
 }
 
-// An answer is not written where the one before it is not whole.
-func TestNextAfterABrokenAnswer(t *testing.T) {
+// Nothing may be written for the next answer while the previous one is incomplete.
+func TestNextAfterIncompleteAnswer(t *testing.T) {
 	near, far := net.Pipe()
 	go func() {
 		buffer := make([]byte, 1024)
@@ -154,8 +154,8 @@
 	if err := first.Begin(200, nil, -1); err != nil {
 		t.Fatal(err)
 	}
-	if err := c.Next(http.MethodPost).Whole(200, nil, nil); !IsErrState(err) {
-		t.Fatalf("got %v, want an error of the state", err)
+	if err := c.Next(http.MethodPost).Send(200, nil, nil); !IsErrState(err) {
+		t.Fatalf("got %v, want an ErrState", err)
 	}
 }
 
@@ -164,15 +164,15 @@
 		status int
 		name   string
 		value  string
-		sound  bool
+		valid  bool
 	}{
-		"sound":             {status: 200, name: "X-A", value: "b\tc \xff", sound: true},
-		"empty value":       {status: 599, name: "X", sound: true},
-		"interim":           {status: 100, name: "X"},
+		"valid":             {status: 200, name: "X-A", value: "b\tc \xff", valid: true},
+		"empty value":       {status: 599, name: "X", valid: true},
+		"interim status":    {status: 100, name: "X"},
 		"99":                {status: 99, name: "X"},
 		"1000":              {status: 1000, name: "X"},
 		"blank in the name": {status: 200, name: "X A"},
-		"no name":           {status: 200},
+		"empty name":        {status: 200},
 		"NUL in the name":   {status: 200, name: "X\x00"},
 		"CR":                {status: 200, name: "X", value: "a\rb"},
 		"LF":                {status: 200, name: "X", value: "a\nb"},
@@ -181,7 +181,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			err := CheckHead(c.status, []Field{{Name: c.name, Value: c.value}})
-			if (err == nil) != c.sound || err != nil && !IsErrHead(err) {
+			if (err == nil) != c.valid || err != nil && !IsErrHead(err) {
 				t.Fatalf("got %v", err)
 			}
 		})
--- a/routers/gateway/answer.go
+++ b/routers/gateway/answer.go
@@ -55,7 +55,7 @@
 		fields = append(fields, reply.Field{Name: "Retry-After", Value: strconv.FormatFloat(math.Ceil(r.RetryAfter.Seconds()*100)/100, 'f', -1, 64)})
 	}
 	fields = append(fields, reply.Field{Name: "Content-Type", Value: "application/json"})
-	return a.Whole(statusOf[r.Kind], fields, body)
+	return a.Send(statusOf[r.Kind], fields, body)
 }
 
 // malformed returns the refusal of a request that can't be parsed.
@@ -69,9 +69,9 @@
 	switch {
 	case err == io.EOF:
 		return false
-	case http1.IsErrTooLong(err):
+	case http1.IsErrHeadTooLong(err):
 		c.writeTextError(http.StatusRequestHeaderFieldsTooLarge, err.Error())
-	case http1.IsErrHead(err):
+	case http1.IsErrMalformedHead(err):
 		c.writeTextError(http.StatusBadRequest, err.Error()+": send a request line and fields of HTTP/1.1")
 	default:
 		c.writeTextError(http.StatusBadRequest, "the head of the request can't be read: send a request line and fields of HTTP/1.1 in time")
@@ -84,7 +84,7 @@
 func (c *connection) writeTextError(status int, message string) {
 	c.closeAfter = true
 	// A write error means that the caller has disconnected.
-	_ = c.writer.Next(http.MethodGet).Whole(status, []reply.Field{{Name: "Content-Type", Value: "text/plain; charset=utf-8"}}, []byte(message))
+	_ = c.writer.Next(http.MethodGet).Send(status, []reply.Field{{Name: "Content-Type", Value: "text/plain; charset=utf-8"}}, []byte(message))
 }
 
 // readBody reads the whole body of a request, asking for it first if the caller
--- a/routers/gateway/fuzz_test.go
+++ b/routers/gateway/fuzz_test.go
@@ -136,7 +136,7 @@
 
 // readNext reads a request and skips an empty line before it.
 func readNext(r *bufio.Reader) (*http.Request, error) {
-	if err := http1.SkipLine(r); err != nil {
+	if err := http1.SkipEmptyLine(r); err != nil {
 		return nil, err
 	}
 	return http.ReadRequest(r)
--- a/routers/gateway/server.go
+++ b/routers/gateway/server.go
@@ -242,7 +242,7 @@
 // readHead reads the head of a request. Heads that parsers could interpret in
 // different ways are rejected.
 func (c *connection) readHead(h *fasthttp.RequestHeader) error {
-	if err := http1.SkipLine(c.reader); err != nil {
+	if err := http1.SkipEmptyLine(c.reader); err != nil {
 		return err
 	}
 	head, err := http1.Peek(c.reader)
--- a/structs/structs.go
+++ b/structs/structs.go
@@ -211,7 +211,7 @@
 	Holder  string `json:"holder"`
 	Budgets int    `json:"budgets"`
 	Records int    `json:"records"`
-	// Open is the number of records of requests that have not ended.
+	// Open is the number of requests that hold reservations.
 	Open  int    `json:"open"`
 	Error string `json:"error,omitempty"`
 }
