--- a/modules/logging/bounded.go
+++ b/modules/logging/bounded.go
@@ -12,40 +12,46 @@
 	"time"
 )
 
-// Bounded writes lines beside the work: a line is handed to a buffer and never
-// waits. Lines above the rate, or that find the buffer full, are left out and
-// counted, and a line says how many. Lines of successes may use half of the
-// rate only, so that refusals and failures always have room.
+// Bounded is an asynchronous, rate-limited log writer: Write puts a line into a buffer
+// and never blocks. Lines that exceed the rate, or do not fit into the buffer, are
+// dropped, and their number is logged. Lines below the level Warn may use only half of
+// the rate, so that refusals and failures can always be logged.
 type Bounded struct {
 	lines chan []byte
-	// rate is the most lines a second.
-	rate   int
+	// rate is the maximum number of lines per second.
+	rate int
+
+	// mu guards the fields below: the current second, and the lines admitted in it.
 	mu     sync.Mutex
 	second int64
 	used   int
-	left   atomic.Uint64
+
+	dropped atomic.Uint64
 }
 
-// boundedBuffer is how many lines wait to be written.
-const boundedBuffer = 512
+// bufferedLines is the capacity of the buffer, in lines.
+const bufferedLines = 512
 
-// NewBounded returns a writer of at most rate lines a second; Run writes them.
+// NewBounded returns a writer of at most rate lines per second. Nothing is written until
+// Run is called.
 func NewBounded(rate int) *Bounded {
-	return &Bounded{lines: make(chan []byte, boundedBuffer), rate: rate}
+	return &Bounded{lines: make(chan []byte, bufferedLines), rate: rate}
 }
 
-// Write implements io.Writer: one call is one line.
+// Write implements io.Writer. Each call must pass one line. It never fails: a line that
+// does not fit into the buffer is dropped.
 func (b *Bounded) Write(p []byte) (int, error) {
 	select {
 	case b.lines <- append([]byte(nil), p...):
 	default:
-		b.left.Add(1)
+		b.dropped.Add(1)
 	}
 	return len(p), nil
 }
 
-// admit tells whether a line of a level may be written now.
-func (b *Bounded) admit(level slog.Level, now time.Time) bool {
+// allow reports whether the rate permits a line of a level now, and counts it as written
+// or dropped.
+func (b *Bounded) allow(level slog.Level, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if second := now.Unix(); second != b.second {
@@ -56,33 +62,34 @@
 		limit /= 2
 	}
 	if b.used >= limit {
-		b.left.Add(1)
+		b.dropped.Add(1)
 		return false
 	}
 	b.used++
 	return true
 }
 
-// Run writes lines until the context ends, and then those that wait.
+// Run writes buffered lines to w until ctx is done, then writes those that remain and
+// returns. Once a second it logs to l how many lines were dropped, if any.
 func (b *Bounded) Run(ctx context.Context, w io.Writer, l *slog.Logger) {
-	report := time.NewTicker(time.Second)
-	defer report.Stop()
+	ticker := time.NewTicker(time.Second)
+	defer ticker.Stop()
 	for {
 		select {
 		case line := <-b.lines:
 			_, _ = w.Write(line)
-		case <-report.C:
-			if n := b.left.Swap(0); n > 0 {
+		case <-ticker.C:
+			if n := b.dropped.Swap(0); n > 0 {
 				l.Warn("log lines left out", "count", n)
 			}
 		case <-ctx.Done():
-			b.drain(w)
+			b.flush(w)
 			return
 		}
 	}
 }
 
-func (b *Bounded) drain(w io.Writer) {
+func (b *Bounded) flush(w io.Writer) {
 	for {
 		select {
 		case line := <-b.lines:
@@ -93,29 +100,30 @@
 	}
 }
 
-// boundedHandler asks for admission before a line is made.
-type boundedHandler struct {
+// rateLimitHandler drops records that exceed the rate before they are formatted.
+type rateLimitHandler struct {
 	slog.Handler
-	bounded *Bounded
+	writer *Bounded
 }
 
-func (h boundedHandler) Handle(ctx context.Context, r slog.Record) error {
-	if !h.bounded.admit(r.Level, r.Time) {
+func (h rateLimitHandler) Handle(ctx context.Context, r slog.Record) error {
+	if !h.writer.allow(r.Level, r.Time) {
 		return nil
 	}
 	return h.Handler.Handle(ctx, r)
 }
 
-func (h boundedHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return boundedHandler{Handler: h.Handler.WithAttrs(attrs), bounded: h.bounded}
+func (h rateLimitHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return rateLimitHandler{Handler: h.Handler.WithAttrs(attrs), writer: h.writer}
 }
 
-func (h boundedHandler) WithGroup(name string) slog.Handler {
-	return boundedHandler{Handler: h.Handler.WithGroup(name), bounded: h.bounded}
+func (h rateLimitHandler) WithGroup(name string) slog.Handler {
+	return rateLimitHandler{Handler: h.Handler.WithGroup(name), writer: h.writer}
 }
 
-// NewBoundedLogger returns a logger that writes through a Bounded.
+// NewBoundedLogger returns a logger that writes JSON lines with the name of the box and
+// its data centre to b. Records below the level are discarded.
 func NewBoundedLogger(b *Bounded, level, box, dataCentre string) *slog.Logger {
 	handler := slog.NewJSONHandler(b, &slog.HandlerOptions{Level: levelOf(level)})
-	return slog.New(boundedHandler{Handler: handler, bounded: b}).With("box", box, "data_centre", dataCentre)
+	return slog.New(rateLimitHandler{Handler: handler, writer: b}).With("box", box, "data_centre", dataCentre)
 }
--- a/modules/logging/bounded_test.go
+++ b/modules/logging/bounded_test.go
@@ -12,41 +12,41 @@
 	"time"
 )
 
-// Successes may use half of the rate; failures always have room for the rest.
-func TestAdmission(t *testing.T) {
+// Lines below Warn may use half of the rate; warnings and errors have the rest at least.
+func TestRateLimit(t *testing.T) {
 	b := NewBounded(10)
 	now := time.Unix(100, 0)
 	infos, warnings := 0, 0
 	for range 20 {
-		if b.admit(slog.LevelInfo, now) {
+		if b.allow(slog.LevelInfo, now) {
 			infos++
 		}
 	}
 	for range 20 {
-		if b.admit(slog.LevelWarn, now) {
+		if b.allow(slog.LevelWarn, now) {
 			warnings++
 		}
 	}
-	if infos != 5 || warnings != 5 || b.left.Load() != 30 {
-		t.Fatalf("%d infos, %d warnings, %d left out", infos, warnings, b.left.Load())
+	if infos != 5 || warnings != 5 || b.dropped.Load() != 30 {
+		t.Fatalf("%d infos, %d warnings, %d dropped", infos, warnings, b.dropped.Load())
 	}
-	if !b.admit(slog.LevelInfo, now.Add(time.Second)) {
-		t.Fatal("a line of the next second was left out")
+	if !b.allow(slog.LevelInfo, now.Add(time.Second)) {
+		t.Fatal("a line of the next second was dropped")
 	}
 }
 
-// Nothing waits for a reader: what finds the buffer full is counted.
+// Write must not block while nothing reads the buffer; lines that do not fit are counted.
 func TestWriteNeverBlocks(t *testing.T) {
 	b := NewBounded(1 << 20)
-	for range boundedBuffer + 7 {
+	for range bufferedLines + 7 {
 		_, _ = b.Write([]byte("x\n"))
 	}
-	if b.left.Load() != 7 {
-		t.Fatalf("%d left out", b.left.Load())
+	if b.dropped.Load() != 7 {
+		t.Fatalf("%d dropped", b.dropped.Load())
 	}
 }
 
-func TestLinesAreWrittenAtTheEnd(t *testing.T) {
+func TestRunFlushesAtTheEnd(t *testing.T) {
 	b := NewBounded(100)
 	l := NewBoundedLogger(b, "info", "box-1", "dc-1")
 	l.With("k", "v").Info("hello", "n", 1)
--- a/modules/logging/logging.go
+++ b/modules/logging/logging.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package logging makes the JSON-lines logger of a box.
+// Package logging creates the loggers of a box, which write JSON lines.
 package logging
 
 import (
@@ -9,13 +9,14 @@
 	"log/slog"
 )
 
-// New returns a logger whose lines carry box and data centre.
+// New returns a logger that writes JSON lines with the name of the box and its data
+// centre to w. An invalid level means info.
 func New(w io.Writer, level, box, dataCentre string) *slog.Logger {
 	handler := slog.NewJSONHandler(w, &slog.HandlerOptions{Level: levelOf(level)})
 	return slog.New(handler).With("box", box, "data_centre", dataCentre)
 }
 
-// Discard returns a logger that writes nothing.
+// Discard returns a logger that discards everything, for tests.
 func Discard() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
 func levelOf(name string) slog.Level {
--- a/modules/setting/forward_test.go
+++ b/modules/setting/forward_test.go
@@ -15,6 +15,7 @@
 	"github.com/urfave/cli/v3"
 )
 
+// parseForward parses flags as the daemon does.
 func parseForward(t *testing.T, args map[string]string) (*Forward, error) {
 	t.Helper()
 	f := &Forward{}
@@ -27,7 +28,8 @@
 	return f, command.Run(context.Background(), line)
 }
 
-func soundForward(t *testing.T) map[string]string {
+// validForward returns the flags of a valid entry box.
+func validForward(t *testing.T) map[string]string {
 	t.Helper()
 	secret := filepath.Join(t.TempDir(), "secret")
 	if err := os.WriteFile(secret, []byte("0123456789abcdef\n"), 0o600); err != nil {
@@ -40,7 +42,7 @@
 }
 
 func TestForwardSettings(t *testing.T) {
-	f, err := parseForward(t, soundForward(t))
+	f, err := parseForward(t, validForward(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,7 +78,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			args := soundForward(t)
+			args := validForward(t)
 			args[c.setting] = c.value
 			_, err := parseForward(t, args)
 			var faults ErrFaults
@@ -85,12 +87,12 @@
 			}
 		})
 	}
-	args := soundForward(t)
+	args := validForward(t)
 	args["role"] = "control"
 	_, err := parseForward(t, args)
 	for _, setting := range []string{"--registry-listen", "--data-dir"} {
 		if err == nil || !strings.Contains(err.Error(), setting) {
-			t.Fatalf("all faults are listed at once; %s is not in %v", setting, err)
+			t.Fatalf("%s is missing in %v, which must list all faults", setting, err)
 		}
 	}
 }
@@ -110,7 +112,7 @@
 		t.Fatal(err)
 	}
 	if _, set := os.LookupEnv("HAVENWINCH_DATA_DIR"); set || os.Getenv("HAVENWINCH_BOX") != "edge=1" {
-		t.Fatalf("box %q, folder set: %v", os.Getenv("HAVENWINCH_BOX"), set)
+		t.Fatalf("box %q, data dir set: %v", os.Getenv("HAVENWINCH_BOX"), set)
 	}
 	write("HAVENWINCH_BOX=a\nPATH=/tmp\n")
 	var fault ErrSettingsFile
@@ -119,16 +121,17 @@
 	}
 	undo()
 	if os.Getenv("HAVENWINCH_DATA_DIR") != "old" || os.Getenv("HAVENWINCH_BOX") != "old" {
-		t.Fatalf("after undo: box %q, folder %q", os.Getenv("HAVENWINCH_BOX"), os.Getenv("HAVENWINCH_DATA_DIR"))
+		t.Fatalf("after undo: box %q, data dir %q", os.Getenv("HAVENWINCH_BOX"), os.Getenv("HAVENWINCH_DATA_DIR"))
 	}
 	if _, err := LoadFile(path + "x"); err == nil {
-		t.Fatal("a missing file is no fault")
+		t.Fatal("no error for a missing file")
 	}
 }
 
-// A reload keeps the flags of the command line and reads all else anew.
-func TestLoadKeepsTheCommandLine(t *testing.T) {
-	for name, value := range soundForward(t) {
+// On a reload, flags of the command line must take precedence over the environment, which
+// is read again.
+func TestLoadPrefersCommandLine(t *testing.T) {
+	for name, value := range validForward(t) {
 		if name != "role" {
 			t.Setenv(EnvironmentPrefix+strings.ToUpper(strings.ReplaceAll(name, "-", "_")), value)
 		}
--- a/modules/setting/setting.go
+++ b/modules/setting/setting.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package setting loads and checks every setting of the daemon at its start.
-// Each is a flag and an environment variable; all faults are reported at once.
+// Package setting loads and checks the settings of the daemon. Each can be given as a
+// flag or an environment variable. All invalid settings are reported at once.
 package setting
 
 import (
@@ -25,8 +25,8 @@
 	RoleControl = "control"
 )
 
-// minSecret is the shortest secret between boxes, in bytes.
-const minSecret = 16
+// minSecretBytes is the minimum length of the secret that boxes share.
+const minSecretBytes = 16
 
 var validName = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
@@ -41,7 +41,7 @@
 	BetweenListen  string
 	BetweenAddress string
 	DataDir        string
-	// ControlBoxes maps names of control boxes to addresses.
+	// ControlBoxes maps the names of control boxes to their addresses.
 	ControlBoxes  map[string]string
 	SecretFile    string
 	OperatorsFile string
@@ -63,13 +63,14 @@
 	LogLevel      string
 	Policy        string
 
-	// Secret and Operators are read from their files.
+	// Secret is read from SecretFile.
 	Secret []byte
-	// Operators maps the digest of an operator's key to the operator's name.
+	// Operators is read from OperatorsFile and maps the digest of an operator's key to
+	// the operator's name.
 	Operators map[string]string
 }
 
-// Has tells whether the box has a role.
+// Has reports whether the box has a role.
 func (s *Settings) Has(role string) bool {
 	for _, r := range s.Roles {
 		if r == role {
@@ -79,7 +80,7 @@
 	return false
 }
 
-// ControlNames returns the names of the control boxes in order.
+// ControlNames returns the sorted names of the control boxes.
 func (s *Settings) ControlNames() []string {
 	names := make([]string, 0, len(s.ControlBoxes))
 	for name := range s.ControlBoxes {
@@ -89,13 +90,15 @@
 	return names
 }
 
-// Fault is one wrong setting.
+// Fault is one invalid setting.
 type Fault struct {
+	// Setting is the flag without dashes, or several flags separated by commas.
 	Setting string
-	Remedy  string
+	// Remedy says what is wrong and what to use instead.
+	Remedy string
 }
 
-// ErrFaults lists all wrong settings.
+// ErrFaults is the error for invalid settings and lists all of them.
 type ErrFaults struct {
 	Faults []Fault
 }
@@ -108,27 +111,29 @@
 	return strings.Join(lines, "\n")
 }
 
-// IsErrFaults tells whether an error is an ErrFaults.
+// IsErrFaults reports whether an error is an ErrFaults.
 func IsErrFaults(err error) bool {
 	_, ok := errors.Cause(err).(ErrFaults)
 	return ok
 }
 
-// checker gathers faults.
+// checker collects faults.
 type checker struct {
 	faults []Fault
 }
 
+// require adds a fault of a setting unless ok is true.
 func (c *checker) require(ok bool, setting, remedy string, args ...any) {
 	if !ok {
 		c.faults = append(c.faults, Fault{Setting: setting, Remedy: fmt.Sprintf(remedy, args...)})
 	}
 }
 
-// Check reads the files that settings name and checks everything.
+// Check reads the files that the settings refer to and checks all settings. It returns
+// an ErrFaults with every invalid setting.
 func (s *Settings) Check() error {
 	c := &checker{}
-	s.checkPlace(c)
+	s.checkIdentity(c)
 	s.checkAddresses(c)
 	s.checkTimes(c)
 	s.checkFiles(c)
@@ -139,15 +144,15 @@
 	return nil
 }
 
-func (s *Settings) checkPlace(c *checker) {
+func (s *Settings) checkIdentity(c *checker) {
 	names := []struct{ setting, value string }{{"box", s.Box}, {"data-centre", s.DataCentre}, {"region", s.Region}}
 	for _, n := range names {
 		c.require(validName.MatchString(n.value), n.setting, "%q is no name: use lower-case letters, digits, dots and dashes", n.value)
 	}
 	c.require(len(s.Roles) > 0, "roles", "name at least one of entry, keeper, control")
 	for _, r := range s.Roles {
-		known := r == RoleEntry || r == RoleKeeper || r == RoleControl
-		c.require(known, "roles", "%q is no role: use entry, keeper, control", r)
+		valid := r == RoleEntry || r == RoleKeeper || r == RoleControl
+		c.require(valid, "roles", "%q is no role: use entry, keeper, control", r)
 	}
 	levels := map[string]bool{"debug": true, "info": true, "warn": true, "error": true}
 	c.require(levels[s.LogLevel], "log-level", "%q is no level: use debug, info, warn or error", s.LogLevel)
@@ -163,19 +168,20 @@
 		{"between-address", s.BetweenAddress},
 	}
 	for _, l := range listens {
-		c.require(validAddress(l.value), l.setting, "%q is no address: use an IP number and a port, as 127.0.0.1:7000", l.value)
+		c.require(isAddress(l.value), l.setting, "%q is no address: use an IP address and a port, like 127.0.0.1:7000", l.value)
 	}
-	c.require(len(s.ControlBoxes) > 0, "control-boxes", "name the control boxes as name=address, parted by commas")
+	c.require(len(s.ControlBoxes) > 0, "control-boxes", "list the control boxes as name=address, separated by commas")
 	for name, address := range s.ControlBoxes {
 		c.require(validName.MatchString(name), "control-boxes", "%q is no box name", name)
-		c.require(validAddress(address), "control-boxes", "%q of box %s is no address: use an IP number and a port", address, name)
+		c.require(isAddress(address), "control-boxes", "%q of box %s is no address: use an IP address and a port", address, name)
 	}
 	u, err := url.Parse(s.PlatformURL)
-	web := err == nil && (u.Scheme == "http" || u.Scheme == "https") && u.Host != ""
-	c.require(web || !s.Has(RoleEntry) && !s.Has(RoleKeeper), "platform-url", "%q is no URL: use one as http://127.0.0.1:9000", s.PlatformURL)
+	isHTTP := err == nil && (u.Scheme == "http" || u.Scheme == "https") && u.Host != ""
+	c.require(isHTTP || !s.Has(RoleEntry) && !s.Has(RoleKeeper), "platform-url", "%q is no HTTP URL: use one like http://127.0.0.1:9000", s.PlatformURL)
 }
 
-func validAddress(address string) bool {
+// isAddress reports whether a text is an IP address with a port.
+func isAddress(address string) bool {
 	host, port, err := net.SplitHostPort(address)
 	return err == nil && net.ParseIP(host) != nil && port != ""
 }
@@ -196,7 +202,7 @@
 	secret, err := os.ReadFile(s.SecretFile)
 	c.require(err == nil, "secret-file", "can't be read (%v): write one random line, the same on all boxes", err)
 	s.Secret = []byte(strings.TrimSpace(string(secret)))
-	c.require(err != nil || len(s.Secret) >= minSecret, "secret-file", "the secret is shorter than %d bytes: use a longer one", minSecret)
+	c.require(err != nil || len(s.Secret) >= minSecretBytes, "secret-file", "the secret is shorter than %d bytes: use a longer one", minSecretBytes)
 	s.Operators = map[string]string{}
 	if s.OperatorsFile != "" {
 		operators, err := readOperators(s.OperatorsFile)
@@ -208,7 +214,7 @@
 		{"between-cert", s.BetweenCert, s.BetweenKey},
 	}
 	for _, p := range pairs {
-		c.require((p.cert == "") == (p.key == ""), p.setting, "certificate and key go together: set both or neither")
+		c.require((p.cert == "") == (p.key == ""), p.setting, "a certificate needs a key and vice versa: set both or neither")
 	}
 	c.require((s.BetweenCert == "") == (s.BetweenCA == ""), "between-ca", "set it together with between-cert")
 	for _, path := range []string{s.CallerCert, s.CallerKey, s.BetweenCert, s.BetweenKey, s.BetweenCA} {
@@ -221,16 +227,17 @@
 }
 
 func (s *Settings) checkRoles(c *checker) {
-	disk := s.Has(RoleKeeper) || s.Has(RoleControl)
-	c.require(s.DataDir != "" || !disk, "data-dir", "keeper and control need a folder on a disk")
+	needsDisk := s.Has(RoleKeeper) || s.Has(RoleControl)
+	c.require(s.DataDir != "" || !needsDisk, "data-dir", "required for keeper and control: use a directory on a persistent disk")
 	if s.Has(RoleControl) {
 		_, listed := s.ControlBoxes[s.Box]
-		c.require(listed, "control-boxes", "box %s has the role control and is not listed", s.Box)
-		c.require(len(s.ControlBoxes)%2 == 1, "control-boxes", "%d control boxes can be split evenly: use 1, 3 or 5", len(s.ControlBoxes))
+		c.require(listed, "control-boxes", "box %s has the role control but is not listed", s.Box)
+		c.require(len(s.ControlBoxes)%2 == 1, "control-boxes", "%d control boxes can split into equal halves without a majority: use 1, 3 or 5", len(s.ControlBoxes))
 	}
 }
 
-// readOperators reads lines of "name digest"; # starts a comment.
+// readOperators reads a file with lines of "name digest" and returns the names by digest.
+// A # starts a comment.
 func readOperators(path string) (map[string]string, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
