--- a/modules/dial/dial.go
+++ b/modules/dial/dial.go
@@ -1,10 +1,11 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package dial opens connections without waiting for the system to send a lost
-// opening packet again, which it does after a second: while one attempt has no answer,
-// others are begun beside it, and the first that is made is used. A box that is not
-// there yet, or a link that loses packets, costs a few packets and not that second.
+// Package dial opens connections with parallel attempts, instead of waiting for the
+// system to retransmit a lost SYN, which it does only after a second: while an attempt
+// has no answer, further ones are started, and the first connection is used. A peer that
+// is not up yet, or a link that loses packets, then costs a few packets rather than that
+// second.
 package dial
 
 import (
@@ -13,27 +14,27 @@
 	"time"
 )
 
-// Func opens one connection, as net.Dialer.DialContext.
+// Func opens a connection like net.Dialer.DialContext.
 type Func func(ctx context.Context, network, address string) (net.Conn, error)
 
-// outcome is what came of one attempt.
-type outcome struct {
+// result is the result of one attempt.
+type result struct {
 	conn net.Conn
 	err  error
 }
 
-// Again returns a Func that begins another attempt each time an interval has passed
-// without an answer, until the context ends. An attempt that fails ends them all: the
-// other side has answered.
-func Again(dial Func, every time.Duration) Func {
+// Again returns a Func that starts another attempt after each interval without an
+// answer, until the context is done. If an attempt fails, its error is returned at once,
+// since the peer has answered. Surplus connections are closed.
+func Again(dial Func, interval time.Duration) Func {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		ctx, cancel := context.WithCancel(ctx)
 		defer cancel()
-		outcomes := make(chan outcome)
+		results := make(chan result)
 		attempt := func() {
 			c, err := dial(ctx, network, address)
 			select {
-			case outcomes <- outcome{c, err}:
+			case results <- result{c, err}:
 			case <-ctx.Done():
 				if err == nil {
 					_ = c.Close()
@@ -41,13 +42,13 @@
 			}
 		}
 		go attempt()
-		again := time.NewTicker(every)
-		defer again.Stop()
+		ticker := time.NewTicker(interval)
+		defer ticker.Stop()
 		for {
 			select {
-			case o := <-outcomes:
-				return o.conn, o.err
-			case <-again.C:
+			case r := <-results:
+				return r.conn, r.err
+			case <-ticker.C:
 				go attempt()
 			case <-ctx.Done():
 				return nil, context.Cause(ctx)
@@ -56,10 +57,10 @@
 	}
 }
 
-// Within bounds the time of a Func.
-func Within(dial Func, limit time.Duration) Func {
+// Within returns a Func that fails if dial takes longer than the timeout.
+func Within(dial Func, timeout time.Duration) Func {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
-		ctx, cancel := context.WithTimeout(ctx, limit)
+		ctx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
 		return dial(ctx, network, address)
 	}
--- a/modules/dial/dial_test.go
+++ b/modules/dial/dial_test.go
@@ -14,46 +14,47 @@
 	"github.com/pkg/errors"
 )
 
-// closing counts the connections that were closed.
-type closing struct {
+// countingConn counts the connections that were closed.
+type countingConn struct {
 	net.Conn
 	closed *atomic.Int64
 }
 
-func (c closing) Close() error {
+func (c countingConn) Close() error {
 	c.closed.Add(1)
 	return nil
 }
 
-// After a loss of power of everything entry boxes had their table 0.5 s after control
-// led: their first connection was tried before the control boxes ran, and its opening
-// packet was sent again a second later. Seen in the logs of eight boxes: each connected
-// 1.06 s after its own start, whenever control had started.
-func TestAnAttemptWithoutAnswerIsNotWaitedFor(t *testing.T) {
+// Guards against waiting for the retransmission of a SYN. After a power failure of the
+// whole fleet, entry boxes received their routing table 0.5 s after control had a leader:
+// they dialled before the control boxes were up, and the system retransmitted the SYN a
+// second later. In the logs of eight boxes, each connected 1.06 s after its own start,
+// whenever control had started.
+func TestUnansweredAttemptIsHedged(t *testing.T) {
 	refused := errors.Wrap(syscall.ECONNREFUSED, "dial")
 	tests := map[string]struct {
-		// answers are those of the attempts in their order: nil for a connection; an
-		// attempt beyond them has no answer.
+		// answers are the results of the attempts in order, nil for a connection. Attempts
+		// beyond them get no answer.
 		answers []error
-		// silent is how many attempts before them have no answer.
-		silent int
-		err    error
+		// unanswered is the number of attempts before them that get no answer.
+		unanswered int
+		err        error
 	}{
-		"at once":                   {answers: []error{nil}},
-		"the first packet was lost": {silent: 1, answers: []error{nil}},
-		"the box was not there yet": {silent: 4, answers: []error{nil}},
-		"refused":                   {answers: []error{refused}, err: syscall.ECONNREFUSED},
-		"refused later":             {silent: 2, answers: []error{refused}, err: syscall.ECONNREFUSED},
+		"first attempt":   {answers: []error{nil}},
+		"lost SYN":        {unanswered: 1, answers: []error{nil}},
+		"peer not up yet": {unanswered: 4, answers: []error{nil}},
+		"refused":         {answers: []error{refused}, err: syscall.ECONNREFUSED},
+		"refused later":   {unanswered: 2, answers: []error{refused}, err: syscall.ECONNREFUSED},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			// An attempt may begin after the first has answered: a wait group must not be
-			// added to beside its wait.
-			var tries, closed, open atomic.Int64
+			// Counters rather than a wait group, since an attempt may start while the test
+			// already waits for the others, and Add must not run concurrently with Wait.
+			var attempts, closed, open atomic.Int64
 			dial := func(ctx context.Context, _, _ string) (net.Conn, error) {
 				open.Add(1)
 				defer open.Add(-1)
-				n := int(tries.Add(1)) - 1 - test.silent
+				n := int(attempts.Add(1)) - 1 - test.unanswered
 				if n < 0 || n >= len(test.answers) {
 					<-ctx.Done()
 					return nil, ctx.Err()
@@ -61,13 +62,13 @@
 				if test.answers[n] != nil {
 					return nil, test.answers[n]
 				}
-				return closing{closed: &closed}, nil
+				return countingConn{closed: &closed}, nil
 			}
 			c, err := Again(dial, time.Millisecond)(context.Background(), "tcp", "127.0.0.1:1")
 			if !errors.Is(err, test.err) || (err == nil) != (c != nil) {
 				t.Fatalf("%v, %v", c, err)
 			}
-			// All others have ended.
+			// Wait until all other attempts have ended.
 			for open.Load() > 0 {
 				time.Sleep(time.Millisecond)
 			}
@@ -78,9 +79,8 @@
 	}
 }
 
-// Connections that are made beside the one that is used are closed, and the context
-// ends all attempts.
-func TestOtherAttemptsEnd(t *testing.T) {
+// Surplus connections must be closed, and the context must end all attempts.
+func TestSurplusAttemptsEnd(t *testing.T) {
 	var closed, made atomic.Int64
 	release := make(chan struct{})
 	dial := func(context.Context, string, string) (net.Conn, error) {
@@ -88,7 +88,7 @@
 			close(release)
 		}
 		<-release
-		return closing{closed: &closed}, nil
+		return countingConn{closed: &closed}, nil
 	}
 	if _, err := Again(dial, time.Millisecond)(context.Background(), "tcp", "127.0.0.1:1"); err != nil {
 		t.Fatal(err)
--- a/modules/meter/meter.go
+++ b/modules/meter/meter.go
@@ -10,30 +10,31 @@
 	"sync/atomic"
 )
 
-// Meter counts bytes since its start. A nil meter counts nothing.
+// Meter counts bytes received and sent. It is safe for concurrent use. Received and Sent
+// on a nil Meter do nothing.
 type Meter struct {
 	received atomic.Int64
 	sent     atomic.Int64
 }
 
-// Received adds bytes that came in.
+// Received adds n received bytes.
 func (m *Meter) Received(n int) {
 	if m != nil {
 		m.received.Add(int64(n))
 	}
 }
 
-// Sent adds bytes that went out.
+// Sent adds n sent bytes.
 func (m *Meter) Sent(n int) {
 	if m != nil {
 		m.sent.Add(int64(n))
 	}
 }
 
-// Totals returns the bytes received and sent.
+// Totals returns the bytes received and sent since the Meter was created.
 func (m *Meter) Totals() (received, sent int64) { return m.received.Load(), m.sent.Load() }
 
-// Reader counts what is read through it.
+// Reader returns a reader that counts the bytes read from r as received.
 func (m *Meter) Reader(r io.Reader) io.Reader { return &reader{r, m} }
 
 type reader struct {
@@ -47,7 +48,7 @@
 	return n, err
 }
 
-// Listener counts the bytes of all connections that it accepts.
+// Listener returns a listener that counts the bytes of all connections accepted by l.
 func (m *Meter) Listener(l net.Listener) net.Listener { return &listener{l, m} }
 
 type listener struct {
--- a/modules/setting/forward.go
+++ b/modules/setting/forward.go
@@ -85,7 +85,7 @@
 		stringFlag("secret-file", "", "file with the secret shared by all boxes", &f.SecretFile),
 		&cli.BoolFlag{Name: "first-start", Usage: "the whole fleet starts for the first time, with empty disks", Destination: &f.FirstStart, Sources: envSource("first-start")},
 		&cli.IntFlag{Name: "tolerated", Value: 1, Usage: "control boxes that may fail at once; the control group has twice as many members plus one", Destination: &f.Tolerated, Sources: envSource("tolerated")},
-		&cli.IntFlag{Name: "memory-mb", Value: 256, Usage: "memory limit of this process in MB", Destination: &f.MemoryMB, Sources: envSource("memory-mb")},
+		&cli.IntFlag{Name: "memory-mb", Value: 256, Usage: "memory available to this process in MB", Destination: &f.MemoryMB, Sources: envSource("memory-mb")},
 		&cli.FloatFlag{Name: "link-mbps", Usage: "bandwidth of this box's network link in Mbit/s; 0 if not known", Destination: &f.LinkMbps, Sources: envSource("link-mbps")},
 		&cli.FloatFlag{Name: "retry-ratio", Value: 0.1, Usage: "maximum retries to another target, as a share of a service's calls in the whole fleet", Destination: &f.RetryRatio, Sources: envSource("retry-ratio")},
 		&cli.FloatFlag{Name: "retry-stock", Value: 20, Usage: "retries allowed in addition to the share, in the whole fleet", Destination: &f.RetryStock, Sources: envSource("retry-stock")},
