--- a/routers/between/gateway.go
+++ b/routers/between/gateway.go
@@ -22,7 +22,7 @@
 	Nodes   NodeProvider
 	Gateway *control.Gateway
 	// Source provides the routing table and the targets for Follow.
-	Source   gateway.Source
+	Source gateway.Source
 	// Stopping is canceled at shutdown, which ends the streams of Follow.
 	Stopping context.Context
 	Handler  []connect.HandlerOption
