--- a/tests/soak/reload_test.go
+++ b/tests/soak/reload_test.go
@@ -24,7 +24,7 @@
 			log  string
 		}{
 			{name: "new seeds", lay: []string{"HAVENWINCH_SEEDS=127.0.0.9:1,127.0.0.8:1"}, log: `"outcome":"seeds in force","seeds":["127.0.0.9:`},
-			{name: "a wrong setting", lay: []string{"HAVENWINCH_SEEDS=127.0.0.7:1", "HAVENWINCH_RETRY_RATIO=2"}, log: `--retry-ratio: must lie between 0 and 1`},
+			{name: "a wrong setting", lay: []string{"HAVENWINCH_SEEDS=127.0.0.7:1", "HAVENWINCH_RETRY_RATIO=2"}, log: `--retry-ratio: must be between 0 and 1`},
 			{name: "a wrong line", lay: []string{"HAVENWINCH_SEEDS=127.0.0.6:1", "nonsense"}, log: `write HAVENWINCH_NAME=value`},
 			{name: "other seeds", lay: []string{"HAVENWINCH_SEEDS=127.0.0.5:1"}, log: `"outcome":"seeds in force","seeds":["127.0.0.5:`},
 		}
