--- a/tests/soak/caller_test.go
+++ b/tests/soak/caller_test.go
@@ -15,27 +15,27 @@
 	"havenwinch.dev/havenwinch/tests/observe"
 )
 
-// outcome is how a request ended for its caller.
+// outcome is the result of a request as its caller sees it.
 type outcome struct {
 	id     string
 	route  string
 	status int
 	body   string
-	// whole is false when the answer broke off or none came.
-	whole bool
-	retry string
-	// signed says that a server made it.
+	// complete is false if the answer was truncated or missing.
+	complete   bool
+	retryAfter string
+	// signed is true if a server, not a box, produced the answer.
 	signed bool
-	// box is the entry box that was asked, from is when.
-	box  string
-	from time.Time
+	// box is the entry box that received the request.
+	box    string
+	sentAt time.Time
 }
 
-// callers sends requests over connections that stay open as long as the box
-// lets them.
-type callers struct {
-	site *site
-	// entries are the addresses of entry boxes, names their names.
+// callerPool is the state shared by all simulated callers. They reuse their
+// connections until the box closes them.
+type callerPool struct {
+	platform *platform
+	// entries are the addresses of the entry boxes; names has their names in the same order.
 	entries []string
 	names   []string
 	seed    int64
@@ -44,15 +44,16 @@
 	outcomes []outcome
 }
 
-// caller is one user with one connection.
+// caller simulates one user with a single connection.
 type caller struct {
-	all   *callers
-	n     int
-	rng   *rand.Rand
-	conn  net.Conn
-	got   *observe.Reader
-	count int
-	// box is the entry box of the connection.
+	// all is the pool of the caller.
+	all    *callerPool
+	n      int
+	rng    *rand.Rand
+	conn   net.Conn
+	reader *observe.Reader
+	count  int
+	// box is the name of the entry box that conn leads to.
 	box string
 }
 
@@ -61,13 +62,13 @@
 	dialLimit   = time.Second
 )
 
-// run sends requests until the channel is closed.
+// run sends requests at random intervals until stop is closed.
 func (c *caller) run(stop <-chan struct{}) {
 	routes := []string{"plain/safe", "plain/unsafe", "stream/resume", "stream/once"}
 	for {
 		select {
 		case <-stop:
-			c.drop()
+			c.disconnect()
 			return
 		case <-time.After(time.Duration(c.rng.Intn(60)) * time.Millisecond):
 		}
@@ -77,12 +78,12 @@
 			key = "key-small"
 		}
 		c.count++
-		o := c.ask(fmt.Sprintf("%d-%d-%d", c.all.seed, c.n, c.count), route, key)
-		c.all.take(o)
+		o := c.send(fmt.Sprintf("%d-%d-%d", c.all.seed, c.n, c.count), route, key)
+		c.all.record(o)
 	}
 }
 
-func (c *caller) drop() {
+func (c *caller) disconnect() {
 	if c.conn != nil {
 		_ = c.conn.Close()
 		c.conn = nil
@@ -91,13 +92,13 @@
 
 const outputLimit = 60
 
-// ask sends one request and reads its answer.
-func (c *caller) ask(id, route, key string) outcome {
-	return c.askBody(id, route, key, "body of "+id)
+// send sends one request with the default body and reads its answer.
+func (c *caller) send(id, route, key string) outcome {
+	return c.sendBody(id, route, key, "body of "+id)
 }
 
-// askBody sends one request with a body of its own.
-func (c *caller) askBody(id, route, key, body string) outcome {
+// sendBody sends one request with the given body and reads its answer.
+func (c *caller) sendBody(id, route, key, body string) outcome {
 	o := outcome{id: id, route: route}
 	if c.conn == nil {
 		n := c.rng.Intn(len(c.all.entries))
@@ -105,54 +106,54 @@
 		if err != nil {
 			return o
 		}
-		c.conn, c.got, c.box = conn, observe.NewReader(conn), c.all.names[n]
+		c.conn, c.reader, c.box = conn, observe.NewReader(conn), c.all.names[n]
 	}
-	o.box, o.from = c.box, time.Now()
+	o.box, o.sentAt = c.box, time.Now()
 	_ = c.conn.SetDeadline(time.Now().Add(answerLimit))
 	tokens := ""
 	if strings.HasPrefix(route, "stream") {
 		prompt := 200 + c.rng.Intn(400)
-		if c.all.seed >= oddKindsFrom && key == "key-large" && c.rng.Intn(4) == 0 {
-			prompt += 2 * longPrompt
+		if c.all.seed >= faultyAnswersFrom && key == "key-large" && c.rng.Intn(4) == 0 {
+			prompt += 2 * longPromptTokens
 		}
 		tokens = fmt.Sprintf("Token-Count: %d,%d\r\nPrompt-Prefix: aa:10,bb%d:20,%x:%d\r\n", prompt, outputLimit, c.rng.Intn(5), c.rng.Int31(), max(5, prompt-1000))
 	}
 	_, err := fmt.Fprintf(c.conn, "POST /%s/x HTTP/1.1\r\nHost: site.example\r\nAttempt-Id: %s\r\nDeadline-Ms: 8000\r\nApi-Key: %s\r\nTenant: forged\r\n%sContent-Length: %d\r\n\r\n%s", route, id, key, tokens, len(body), body)
 	if err != nil {
-		c.drop()
+		c.disconnect()
 		return o
 	}
-	return c.answer(o)
+	return c.readAnswer(o)
 }
 
-func (c *caller) answer(o outcome) outcome {
-	a, err := c.got.Answer(http.MethodPost)
-	o.status, o.body, o.whole, o.retry, o.signed = a.Status, string(a.Body), err == nil, a.Get("Retry-After"), a.Get("Server-Signature") != ""
+func (c *caller) readAnswer(o outcome) outcome {
+	a, err := c.reader.Answer(http.MethodPost)
+	o.status, o.body, o.complete, o.retryAfter, o.signed = a.Status, string(a.Body), err == nil, a.Get("Retry-After"), a.Get("Server-Signature") != ""
 	if observe.IsErrUnreadable(err) {
-		c.all.site.breaks("request %s (%s) over %s: %v", o.id, o.route, c.conn.RemoteAddr(), err)
+		c.all.platform.violation("request %s (%s) over %s: %v", o.id, o.route, c.conn.RemoteAddr(), err)
 	}
 	if got := a.Get("Attempt-Id"); got != "" && got != o.id {
-		c.all.site.breaks("request %s got the answer to %s", o.id, got)
+		c.all.platform.violation("request %s received the answer to %s", o.id, got)
 	}
-	if observe.IsErrCut(err) && a.Status == http.StatusOK && !c.all.site.brokeOff(o.id) && !c.all.site.reasons.mayBreak(o.id, o.box, o.from) {
-		c.all.site.breaks("request %s (%s) broke off at %s after %s and %d bytes, and nothing had a trouble that it met", o.id, o.route, o.box, time.Since(o.from), len(a.Body))
+	if observe.IsErrCut(err) && a.Status == http.StatusOK && !c.all.platform.wasTruncated(o.id) && !c.all.platform.disruptions.explainsTruncation(o.id, o.box, o.sentAt) {
+		c.all.platform.violation("request %s (%s) was truncated at %s after %s and %d bytes without a fault that explains it", o.id, o.route, o.box, time.Since(o.sentAt), len(a.Body))
 	}
 	if err != nil || a.Closes() {
-		c.drop()
+		c.disconnect()
 	}
 	return o
 }
 
-// take checks an outcome as far as it can be checked at once.
-func (cs *callers) take(o outcome) {
+// record records an outcome and makes the checks that do not depend on later events.
+func (cs *callerPool) record(o outcome) {
 	cs.mu.Lock()
 	cs.outcomes = append(cs.outcomes, o)
 	cs.mu.Unlock()
-	if strings.Contains(o.body, heldBack) {
-		cs.site.breaks("request %s (%s) was held back, and no server ended under it alone", o.id, o.route)
+	if strings.Contains(o.body, quarantinedKind) {
+		cs.platform.violation("request %s (%s) was quarantined although it crashed no server", o.id, o.route)
 	}
-	if o.signed && o.status != http.StatusOK && !cs.site.hasSaid(o.id, o.status) {
-		cs.site.breaks("request %s (%s) got %d as a server's, and none has said so", o.id, o.route, o.status)
+	if o.signed && o.status != http.StatusOK && !cs.platform.hasFailed(o.id, o.status) {
+		cs.platform.violation("request %s (%s) got status %d signed by a server, but no server sent it", o.id, o.route, o.status)
 	}
 	if o.status != http.StatusOK {
 		return
@@ -165,38 +166,38 @@
 		}
 		want = b.String()
 	}
-	// A server that says nothing of where its answer ends may have broken it off unseen.
-	part := strings.HasPrefix(want, o.body) && (!o.whole || cs.site.brokeOff(o.id))
-	if o.body != want && !part {
-		cs.site.breaks("request %s (%s) was answered %q", o.id, o.route, o.body)
+	// If an answer has neither a length nor chunks, its truncation goes unnoticed.
+	truncated := strings.HasPrefix(want, o.body) && (!o.complete || cs.platform.wasTruncated(o.id))
+	if o.body != want && !truncated {
+		cs.platform.violation("request %s (%s) got an unexpected body %q", o.id, o.route, o.body)
 	}
 }
 
-// check compares all outcomes with what servers saw.
-func (cs *callers) check() (served, refused, failed int) {
+// check compares all outcomes with the requests that servers executed, and counts them.
+func (cs *callerPool) check() (served, refused, failed int) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	once := map[string]bool{"plain/unsafe": true, "stream/once": true}
+	atMostOnce := map[string]bool{"plain/unsafe": true, "stream/once": true}
 	for _, o := range cs.outcomes {
-		runs := cs.site.ran(o.id)
-		if once[o.route] && runs > 1 {
-			cs.site.breaks("request %s (%s) ran %d times", o.id, o.route, runs)
+		runs := cs.platform.runCount(o.id)
+		if atMostOnce[o.route] && runs > 1 {
+			cs.platform.violation("request %s (%s) was executed %d times, want at most once", o.id, o.route, runs)
 		}
 		switch {
 		case o.status == http.StatusServiceUnavailable || o.status == http.StatusTooManyRequests || o.status == http.StatusRequestTimeout:
 			refused++
 			if runs > 0 {
-				cs.site.breaks("request %s (%s) got %d and ran", o.id, o.route, o.status)
+				cs.platform.violation("request %s (%s) was refused with status %d after a server had executed it", o.id, o.route, o.status)
 			}
-			if o.retry == "" {
-				cs.site.breaks("request %s was refused with %d and no time to come back", o.id, o.status)
+			if o.retryAfter == "" {
+				cs.platform.violation("request %s was refused with status %d without Retry-After", o.id, o.status)
 			}
-		case o.status == http.StatusOK && o.whole:
+		case o.status == http.StatusOK && o.complete:
 			served++
 		case o.signed && o.status != http.StatusOK:
 			failed++
 		case o.status == http.StatusUnauthorized || o.status == http.StatusNotFound:
-			cs.site.breaks("request %s got %d", o.id, o.status)
+			cs.platform.violation("request %s got unexpected status %d", o.id, o.status)
 		default:
 			failed++
 		}
--- a/tests/soak/engine_test.go
+++ b/tests/soak/engine_test.go
@@ -12,27 +12,28 @@
 	"time"
 )
 
-// Engines read long prompts beside the streams that they answer, which pause meanwhile, and
-// take orders: to copy a run's memory to another engine, to stop it there, to go on from the
-// copy. So runs move in the soak as they do in service.
+// Simulated engines process long prompts while they stream answers, which stall meanwhile,
+// and accept the commands to copy the KV cache of a run to another engine, to stop the run
+// and to resume from the copy. Runs therefore move between engines as in production.
 
 const (
-	// longPrompt is from how many tokens on the reading of a prompt holds others up, readTime
-	// how long it does; itlTarget is the pause that the routes allow, in milliseconds.
-	longPrompt = 5000
-	readTime   = 60 * time.Millisecond
-	itlTarget  = 30
+	// longPromptTokens is the prompt length, in tokens, from which prefill stalls other streams.
+	longPromptTokens = 5000
+	// prefillTime is the duration of such a stall.
+	prefillTime = 60 * time.Millisecond
+	// itlTarget is the inter-token latency that the routes allow, in milliseconds.
+	itlTarget = 30
 )
 
-// run is a call that an engine answers.
+// run is the generation of one answer at an engine.
 type run struct {
 	stopped chan struct{}
-	// made is how many events it has made.
-	made int
+	// events is the number of generated events.
+	events int
 }
 
-// began notes that an engine answers a call, and returns its run.
-func (sv *server) begin(id string) *run {
+// startRun registers the generation of an answer at the engine.
+func (sv *server) startRun(id string) *run {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	r := &run{stopped: make(chan struct{})}
@@ -40,45 +41,45 @@
 	return r
 }
 
-func (sv *server) end(id string) {
+func (sv *server) endRun(id string) {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	delete(sv.runs, id)
 }
 
-// read holds the engine up while it reads a prompt.
-func (sv *server) read(tokens uint64) {
-	if tokens < longPrompt {
+// prefill processes a prompt; a long one stalls all streams of the engine.
+func (sv *server) prefill(tokens uint64) {
+	if tokens < longPromptTokens {
 		return
 	}
-	sv.reading.Lock()
-	time.Sleep(readTime)
-	sv.reading.Unlock()
+	sv.prefillMu.Lock()
+	time.Sleep(prefillTime)
+	sv.prefillMu.Unlock()
 }
 
-// order answers a question or an order; false when the request is none.
-func (sv *server) order(w http.ResponseWriter, r *http.Request) bool {
+// handleCommand handles engine commands and status queries. It reports whether the request was one.
+func (sv *server) handleCommand(w http.ResponseWriter, r *http.Request) bool {
 	if !strings.HasPrefix(r.URL.Path, "/api/") {
 		return false
 	}
-	if form := sv.form(r); form == formTwice {
+	if form := sv.answerForm(r); form == formRepeated {
 		sv.mu.Lock()
-		connOf(r).sayAgain(sv.rng)
+		connOf(r).repeatAnswer(sv.rng)
 		sv.mu.Unlock()
 	}
 	switch {
 	case r.URL.Path == "/api/report":
 		_, _ = io.WriteString(w, `{"queued":0,"runs":[]}`)
 	case r.URL.Path == "/api/kv-move":
-		sv.move(w, r)
+		sv.moveRun(w, r)
 	default:
 		w.WriteHeader(http.StatusOK)
 	}
 	return true
 }
 
-// move copies the memory of a run, and stops it when it is the last copy.
-func (sv *server) move(w http.ResponseWriter, r *http.Request) {
+// moveRun copies the KV cache of a run, and stops the run after the last copy.
+func (sv *server) moveRun(w http.ResponseWriter, r *http.Request) {
 	var order struct {
 		ID   string `json:"id"`
 		Last bool   `json:"last"`
@@ -97,27 +98,27 @@
 	if order.Last {
 		close(running.stopped)
 		delete(sv.runs, order.ID)
-		sv.site.copied(order.ID)
-		sv.site.reasons.stop(order.ID)
+		sv.platform.recordCopy(order.ID)
+		sv.platform.disruptions.recordStop(order.ID)
 	}
 	status := http.StatusOK
 	if order.Last && sv.rng.Intn(5) == 0 {
 		status = http.StatusServiceUnavailable
 	}
 	w.WriteHeader(status)
-	_, _ = fmt.Fprintf(w, `{"handle":%q,"made":%d}`, "h-"+order.ID, running.made)
+	_, _ = fmt.Fprintf(w, `{"handle":%q,"made":%d}`, "h-"+order.ID, running.events)
 }
 
-// copied notes that a stopped run may go on once.
-func (s *site) copied(id string) {
+// recordCopy records the final copy of a stopped run. It can be resumed from once.
+func (s *platform) recordCopy(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.copies[id]++
 	s.moved++
 }
 
-// goesOn takes the copy of a run; false when there is none.
-func (s *site) goesOn(id string) bool {
+// takeCopy consumes a copy of a run and reports whether there was one.
+func (s *platform) takeCopy(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.copies[id] == 0 {
--- a/tests/soak/fleet_test.go
+++ b/tests/soak/fleet_test.go
@@ -21,7 +21,7 @@
 	"time"
 )
 
-// bin is the folder of the daemon, built with the race detector.
+// bin is the directory of the daemon's binary, built with the race detector.
 var bin string
 
 func TestMain(m *testing.M) { os.Exit(build(m)) }
@@ -39,53 +39,53 @@
 	return m.Run()
 }
 
-// box is one daemon as a process.
+// box is a daemon that runs as a process of its own.
 type box struct {
-	name   string
-	role   string
-	ip     string
-	folder string
-	env    []string
-	// bin is the folder of the daemon that runs at the next start.
+	name string
+	role string
+	ip   string
+	dir  string
+	env  []string
+	// bin is the directory of the binary to run from the next start on.
 	bin string
 
 	mu   sync.Mutex
 	cmd  *exec.Cmd
 	done chan struct{}
 	log  bytes.Buffer
-	// started is set once the box was started.
+	// started is true after the first start.
 	started bool
-	// closed is set at the end of the test: nothing is started any more.
+	// closed is set at the end of the test and prevents further starts.
 	closed bool
-	// ended lists ends of the process that no signal of the test explains.
-	ended []string
+	// exits describes the exits of the process that were not caused by a signal.
+	exits []string
 }
 
-// fleet is a set of boxes with addresses of its own on loopback.
+// fleet is a set of boxes with loopback addresses of its own.
 type fleet struct {
-	folder string
-	boxes  []*box
-	ports  ports
+	dir   string
+	boxes []*box
+	ports ports
 }
 
 type ports struct{ between, caller, ready, registry, metrics int }
 
 var fleets atomic.Int64
 
-// centres is how many data centres a fleet has.
-const centres = 2
+// dataCentres is the number of data centres of a fleet.
+const dataCentres = 2
 
-// newFleet lays boxes out; every fleet has a net of its own, told apart by the
-// process and a count.
+// newFleet configures the boxes of a fleet without starting them. Each fleet has its own
+// loopback subnet, derived from the process id and a counter.
 func newFleet(t *testing.T, controls, entries int) *fleet {
 	t.Helper()
-	f := &fleet{folder: t.TempDir(), ports: freePorts(t)}
+	f := &fleet{dir: t.TempDir(), ports: freePorts(t)}
 	net := fmt.Sprintf("127.%d.%d.", 60+os.Getpid()%150, 1+fleets.Add(1)%250)
 	var seeds []string
 	for i := range min(3, controls) {
 		seeds = append(seeds, net+strconv.Itoa(10+i))
 	}
-	secret := filepath.Join(f.folder, "secret")
+	secret := filepath.Join(f.dir, "secret")
 	if err := os.WriteFile(secret, []byte("a secret for fleets on loopback only"), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -94,14 +94,14 @@
 		if i >= controls {
 			b.name, b.role = fmt.Sprintf("entry-%d", i-controls+1), "entry"
 		}
-		b.folder = filepath.Join(f.folder, b.name)
-		centre := "zone-" + string(rune('a'+i%centres))
+		b.dir = filepath.Join(f.dir, b.name)
+		centre := "zone-" + string(rune('a'+i%dataCentres))
 		b.env = []string{
 			"HAVENWINCH_BOX=" + b.name, "HAVENWINCH_DATA_CENTRE=" + centre, "HAVENWINCH_IP=" + b.ip,
 			"HAVENWINCH_BETWEEN_PORT=" + strconv.Itoa(f.ports.between), "HAVENWINCH_SEEDS=" + strings.Join(seeds, ","),
-			"HAVENWINCH_CALLER_LISTEN=" + f.at(b, f.ports.caller), "HAVENWINCH_READY_LISTEN=" + f.at(b, f.ports.ready),
-			"HAVENWINCH_REGISTRY_LISTEN=" + f.at(b, f.ports.registry), "HAVENWINCH_METRICS_LISTEN=" + f.at(b, f.ports.metrics),
-			"HAVENWINCH_DATA_DIR=" + b.folder, "HAVENWINCH_SECRET_FILE=" + secret, "HAVENWINCH_STOP_LIMIT=10s", "HAVENWINCH_LOG_RATE=5000",
+			"HAVENWINCH_CALLER_LISTEN=" + f.address(b, f.ports.caller), "HAVENWINCH_READY_LISTEN=" + f.address(b, f.ports.ready),
+			"HAVENWINCH_REGISTRY_LISTEN=" + f.address(b, f.ports.registry), "HAVENWINCH_METRICS_LISTEN=" + f.address(b, f.ports.metrics),
+			"HAVENWINCH_DATA_DIR=" + b.dir, "HAVENWINCH_SECRET_FILE=" + secret, "HAVENWINCH_STOP_LIMIT=10s", "HAVENWINCH_LOG_RATE=5000",
 			"HAVENWINCH_RETRY_STOCK=100000", "HAVENWINCH_ELECTION_TIMEOUT=1s", "HAVENWINCH_HEARTBEAT=200ms",
 		}
 		f.boxes = append(f.boxes, b)
@@ -124,9 +124,9 @@
 	return p
 }
 
-func (f *fleet) at(b *box, port int) string { return net.JoinHostPort(b.ip, strconv.Itoa(port)) }
+func (f *fleet) address(b *box, port int) string { return net.JoinHostPort(b.ip, strconv.Itoa(port)) }
 
-func (f *fleet) of(role string) []*box {
+func (f *fleet) withRole(role string) []*box {
 	var list []*box
 	for _, b := range f.boxes {
 		if b.role == role {
@@ -138,32 +138,32 @@
 
 func (f *fleet) addresses(role string, port int) []string {
 	var list []string
-	for _, b := range f.of(role) {
-		list = append(list, f.at(b, port))
+	for _, b := range f.withRole(role) {
+		list = append(list, f.address(b, port))
 	}
 	return list
 }
 
 func (f *fleet) names(role string) []string {
 	var names []string
-	for _, b := range f.of(role) {
+	for _, b := range f.withRole(role) {
 		names = append(names, b.name)
 	}
 	return names
 }
 
-// start starts the box's process if none runs.
+// start starts the process unless it is already running.
 func (b *box) start() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.cmd != nil || b.closed {
 		return nil
 	}
-	if err := b.laySettings("HAVENWINCH_FIRST_START=" + strconv.FormatBool(!b.started)); err != nil {
+	if err := b.writeSettings("HAVENWINCH_FIRST_START=" + strconv.FormatBool(!b.started)); err != nil {
 		return err
 	}
 	cmd := exec.Command(filepath.Join(b.bin, "havenwinchd"), "forward", "--role", b.role)
-	cmd.Env = []string{"PATH=" + os.Getenv("PATH"), "HOME=" + os.Getenv("HOME"), "HAVENWINCH_NODE_FILE=" + b.settings()}
+	cmd.Env = []string{"PATH=" + os.Getenv("PATH"), "HOME=" + os.Getenv("HOME"), "HAVENWINCH_NODE_FILE=" + b.settingsPath()}
 	cmd.Stdout, cmd.Stderr = &lockedWriter{b: b}, &lockedWriter{b: b}
 	if err := cmd.Start(); err != nil {
 		return err
@@ -171,27 +171,27 @@
 	b.started = true
 	done := make(chan struct{})
 	b.cmd, b.done = cmd, done
-	go b.await(cmd, done)
+	go b.wait(cmd, done)
 	return nil
 }
 
-// settings is the path of the box's settings file.
-func (b *box) settings() string { return b.folder + ".env" }
+// settingsPath returns the path of the settings file.
+func (b *box) settingsPath() string { return b.dir + ".env" }
 
-// laySettings writes the settings file, as the platform does it: all but the role, which
-// stands on the command line. What is named again holds.
-func (b *box) laySettings(again ...string) error {
-	lines := append(slices.Clone(b.env), again...)
-	return os.WriteFile(b.settings(), []byte(strings.Join(lines, "\n")+"\n"), 0o600)
+// writeSettings writes the settings file as the users' platform does: all settings but the
+// role, which is a command-line flag. The last of several values of a setting applies.
+func (b *box) writeSettings(overrides ...string) error {
+	lines := append(slices.Clone(b.env), overrides...)
+	return os.WriteFile(b.settingsPath(), []byte(strings.Join(lines, "\n")+"\n"), 0o600)
 }
 
-// restartPause is how long after its own end a process is started again, as the
-// platform does it.
-const restartPause = 100 * time.Millisecond
+// restartDelay is the delay before a process that exited by itself is restarted, as the
+// users' platform does.
+const restartDelay = 100 * time.Millisecond
 
-// await notes the end of a process. One that ended by itself is a finding, and
-// is started again.
-func (b *box) await(cmd *exec.Cmd, done chan struct{}) {
+// wait waits for the process to exit. An exit that was not caused by a signal is
+// recorded as a failure, and the process is restarted.
+func (b *box) wait(cmd *exec.Cmd, done chan struct{}) {
 	err := cmd.Wait()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -201,22 +201,22 @@
 	if err == nil || status.Signaled() {
 		return
 	}
-	b.ended = append(b.ended, fmt.Sprintf("%s (process %d) ended by itself: %v; its last lines: %s", b.name, cmd.Process.Pid, err, lastLines(b.log.String())))
-	time.AfterFunc(restartPause, func() { _ = b.start() })
+	b.exits = append(b.exits, fmt.Sprintf("%s (process %d) exited unexpectedly: %v; end of its log: %s", b.name, cmd.Process.Pid, err, logTail(b.log.String())))
+	time.AfterFunc(restartDelay, func() { _ = b.start() })
 }
 
-// lastLines returns the end of a log.
-func lastLines(text string) string {
-	const most = 2000
-	return text[max(0, len(text)-most):]
+// logTail returns the last 2000 bytes of a log.
+func logTail(text string) string {
+	const size = 2000
+	return text[max(0, len(text)-size):]
 }
 
-// endedByThemselves returns the ends of processes that no signal explains.
-func (f *fleet) endedByThemselves() []string {
+// unexpectedExits returns descriptions of the exits that were not caused by a signal.
+func (f *fleet) unexpectedExits() []string {
 	var list []string
 	for _, b := range f.boxes {
 		b.mu.Lock()
-		list = append(list, b.ended...)
+		list = append(list, b.exits...)
 		b.mu.Unlock()
 	}
 	return list
@@ -230,13 +230,14 @@
 	return w.b.log.Write(p)
 }
 
-func (b *box) lines() string {
+func (b *box) logText() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.log.String()
 }
 
-// signal signals the box's own process, and no other.
+// signal sends a signal to the process of the box. The returned channel is closed when
+// that process has exited; it is already closed if none runs.
 func (b *box) signal(s syscall.Signal) <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -268,12 +269,12 @@
 	}
 }
 
-// ready waits until every entry box says that it is ready.
+// ready waits until every entry box reports that it is ready.
 func (f *fleet) ready(t *testing.T) {
 	t.Helper()
 	for _, address := range f.addresses("entry", f.ports.ready) {
-		eventually(t, address+" is ready", func() bool {
-			resp, err := asker.Get("http://" + address + "/api/readyz")
+		waitFor(t, address+" is ready", func() bool {
+			resp, err := httpClient.Get("http://" + address + "/api/readyz")
 			if err != nil {
 				return false
 			}
@@ -285,13 +286,13 @@
 
 const waitLimit = 60 * time.Second
 
-// eventually waits for something that must come to be.
-func eventually(t *testing.T, what string, holds func() bool) {
+// waitFor polls a condition and fails the test if it does not hold within waitLimit.
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(waitLimit); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
-		if holds() {
+		if condition() {
 			return
 		}
 	}
-	t.Fatalf("not within %s: %s", waitLimit, what)
+	t.Fatalf("timed out after %s: %s", waitLimit, what)
 }
--- a/tests/soak/limit_test.go
+++ b/tests/soak/limit_test.go
@@ -16,58 +16,60 @@
 )
 
 const (
-	// limitField holds the requests a second that a server takes from all boxes.
-	limitField = "Server-Limit"
-	// limitKnown is how long after a server first named a limit it has to hold, and
-	// limitWindow the time over which it does, with a factor and some requests to
-	// spare: what the platform asks of its callers.
-	limitKnown  = 3 * time.Second
+	// limitHeader is the response header with the request rate, per second, that a
+	// server accepts from all boxes together.
+	limitHeader = "Server-Limit"
+	// The users' platform requires that a rate limit is observed limitDelay after it
+	// was first announced: in any limitWindow the server receives at most limitFactor
+	// times the limit plus limitSlack requests.
+	limitDelay  = 3 * time.Second
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
-	limitSpare  = 5
+	limitSlack  = 5
 )
 
-// namedLimit is a limit that a server names for some time.
-type namedLimit struct {
-	perSecond   float64
-	since, till time.Time
+// announcedLimit is a rate limit and the period during which a server announces it; until
+// is zero while it does.
+type announcedLimit struct {
+	perSecond    float64
+	since, until time.Time
 }
 
-// nameLimit makes the server name a limit in all its answers, until it is ended.
-func (sv *server) nameLimit(perSecond float64) {
+// announceLimit makes the server announce a rate limit in all its answers until withdrawLimit.
+func (sv *server) announceLimit(perSecond float64) {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
-	sv.limits = append(sv.limits, namedLimit{perSecond: perSecond, since: time.Now()})
+	sv.limits = append(sv.limits, announcedLimit{perSecond: perSecond, since: time.Now()})
 }
 
-// endLimit ends the limit that the server names.
-func (sv *server) endLimit() {
+// withdrawLimit makes the server announce no rate limit any more.
+func (sv *server) withdrawLimit() {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
-	if n := len(sv.limits); n > 0 && sv.limits[n-1].till.IsZero() {
-		sv.limits[n-1].till = time.Now()
+	if n := len(sv.limits); n > 0 && sv.limits[n-1].until.IsZero() {
+		sv.limits[n-1].until = time.Now()
 	}
 }
 
-// arrived notes a request, and names the limit in the head of its answer; the
-// caller holds the lock.
-func (sv *server) arrived(h http.Header) {
+// recordLimited records a request and sets the rate limit in the header of its answer. The
+// caller holds sv.mu.
+func (sv *server) recordLimited(h http.Header) {
 	n := len(sv.limits)
-	if n == 0 || !sv.limits[n-1].till.IsZero() {
+	if n == 0 || !sv.limits[n-1].until.IsZero() {
 		return
 	}
 	sv.arrivals = append(sv.arrivals, time.Now())
-	h.Set(limitField, strconv.FormatFloat(sv.limits[n-1].perSecond, 'f', -1, 64))
+	h.Set(limitHeader, strconv.FormatFloat(sv.limits[n-1].perSecond, 'f', -1, 64))
 }
 
-// mostOf returns the most requests in a window that lies within a named limit, from
-// when it had to hold, and how many came in that time.
-func (sv *server) mostOf(l namedLimit) (most, all int) {
+// countRequests returns the highest number of requests in any limitWindow in which the limit had
+// to be observed, and the number of all requests in that time.
+func (sv *server) countRequests(l announcedLimit) (most, all int) {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	first := 0
 	for i, at := range sv.arrivals {
-		if at.Before(l.since.Add(limitKnown)) || !l.till.IsZero() && at.After(l.till) {
+		if at.Before(l.since.Add(limitDelay)) || !l.until.IsZero() && at.After(l.until) {
 			first = i + 1
 			continue
 		}
@@ -80,126 +82,125 @@
 	return most, all
 }
 
-// allowed is how many requests a server may get in any window.
-func (l namedLimit) allowed() int {
-	return int(limitFactor*l.perSecond*limitWindow.Seconds()) + limitSpare
+// allowed returns how many requests a server may receive in any limitWindow.
+func (l announcedLimit) allowed() int {
+	return int(limitFactor*l.perSecond*limitWindow.Seconds()) + limitSlack
 }
 
-// lastLimit returns the limit that the server named last.
-func (sv *server) lastLimit() namedLimit {
+// lastLimit returns the limit announced last. There must be one.
+func (sv *server) lastLimit() announcedLimit {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	return sv.limits[len(sv.limits)-1]
 }
 
-// Servers in need named a limit of one request a second and went on getting four a
-// second: their answers took longer and longer for everybody who was sent there,
-// while sixteen others had room. No box had passed a rule on; each sent as before.
+// Guards against boxes that ignore the rate limit of a server. In production two
+// overloaded servers announced a limit of one request per second and still received
+// four: their latency kept growing while sixteen other servers had free capacity. The
+// boxes did not share a limit, and each kept its own rate. The arrivals at both servers
+// were the same before and after the announcement, and no box logged a limit.
 //
-// Evidence: the two servers' arrivals before and after they named it are the same,
-// and no box's log mentions a limit.
-//
-// Here some engines name a limit that is smaller than the number of boxes, while
-// callers use all boxes. In each window from three seconds on they get no more than
-// is allowed, over all boxes together; the room that they have is used; calls go to
-// the others; and when they name none any more, they are used again.
-func TestServersThatNameALimit(t *testing.T) {
+// In the test some engines announce a limit smaller than the number of boxes, while
+// callers use all boxes. In each window after the first three seconds they receive no
+// more than allowed from all boxes together, the rate that they do allow is used, other
+// calls go to the other engines, and traffic returns once the limit is withdrawn.
+func TestServersThatAnnounceALimit(t *testing.T) {
 	tests := map[string]struct {
 		perSecond float64
-		// limited is how many of the three engines name it.
+		// limited is how many of the three engines announce the limit.
 		limited int
-		// leastUsed is the part of what is allowed that must be used.
-		leastUsed float64
-		// wide is set when the limit is far above the traffic.
-		wide bool
+		// minUse is the share of the limit that must be used.
+		minUse float64
+		// aboveTraffic is true if the limit is far above the offered traffic.
+		aboveTraffic bool
 	}{
-		"one a second":                      {perSecond: 1, limited: 2, leastUsed: 0.5},
-		"nothing":                           {perSecond: 0, limited: 1},
-		"every engine, a thousand a second": {perSecond: 1000, limited: 3, wide: true},
-		"every engine, three a second":      {perSecond: 3, limited: 3, leastUsed: 0.5},
+		"two engines, 1 per second":    {perSecond: 1, limited: 2, minUse: 0.5},
+		"one engine, 0 per second":     {perSecond: 0, limited: 1},
+		"all engines, 1000 per second": {perSecond: 1000, limited: 3, aboveTraffic: true},
+		"all engines, 3 per second":    {perSecond: 3, limited: 3, minUse: 0.5},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t, 31, 3, 6, 3, 1)
+			w := newTestbed(t, 31, 3, 6, 3, 1)
 			t.Cleanup(func() {
 				if t.Failed() {
-					w.keepLogs(t, 31)
+					w.saveLogs(t, 31)
 				}
 			})
-			stop := w.callAll(t, 18)
-			limited := w.site.all()[:test.limited]
+			stop := w.startLoad(t, 18)
+			limited := w.platform.all()[:test.limited]
 			for _, sv := range limited {
-				sv.nameLimit(test.perSecond)
+				sv.announceLimit(test.perSecond)
 			}
 			const length = 9 * time.Second
 			time.Sleep(length)
 			for _, sv := range limited {
-				sv.endLimit()
+				sv.withdrawLimit()
 				l := sv.lastLimit()
-				most, all := sv.mostOf(l)
-				t.Logf("%s: at most %d in %s, %d allowed; %d from %s on in %s", sv.id, most, limitWindow, l.allowed(), all, limitKnown, l.till.Sub(l.since))
+				most, all := sv.countRequests(l)
+				t.Logf("%s: at most %d requests in %s, %d allowed; %d after the first %s of %s", sv.id, most, limitWindow, l.allowed(), all, limitDelay, l.until.Sub(l.since))
 				if most > l.allowed() {
-					t.Errorf("%s, which named a limit of %g a second, got %d requests in %s, %d are allowed", sv.id, test.perSecond, most, limitWindow, l.allowed())
+					t.Errorf("%s with a limit of %g per second received %d requests in %s, want at most %d", sv.id, test.perSecond, most, limitWindow, l.allowed())
 				}
-				if least := test.leastUsed * test.perSecond * (l.till.Sub(l.since) - limitKnown).Seconds(); float64(all) < least {
-					t.Errorf("%s got %d requests, with a limit of %g a second at least %.1f should be sent there", sv.id, all, test.perSecond, least)
+				if least := test.minUse * test.perSecond * (l.until.Sub(l.since) - limitDelay).Seconds(); float64(all) < least {
+					t.Errorf("%s received %d requests with a limit of %g per second, want at least %.1f", sv.id, all, test.perSecond, least)
 				}
 			}
-			if test.limited < 3 || test.wide {
-				w.noneWithoutTarget(t)
+			if test.limited < 3 || test.aboveTraffic {
+				w.checkNoneRefused(t)
 			}
 			for _, sv := range limited {
-				w.usedAgain(t, sv)
+				w.waitTraffic(t, sv)
 			}
 			stop()
-			w.verdict(t)
+			w.checkResults(t)
 		})
 	}
 }
 
-// stormLimits are the limits that servers name for a while during the faults of a run,
-// and calmLimits those of the calm after it, in requests a second.
+// limitsDuringFaults are rate limits, per second, that servers announce during fault injection;
+// limitsAfterFaults are those announced after it.
 var (
-	stormLimits = []float64{0, 0.4, 1, 3, 10, 1000}
-	calmLimits  = []float64{0.5, 1, 2, 6}
+	limitsDuringFaults = []float64{0, 0.4, 1, 3, 10, 1000}
+	limitsAfterFaults  = []float64{0.5, 1, 2, 6}
 )
 
-// calmTime is how long limits are kept after all faults have ended.
-const calmTime = limitKnown + limitWindow + time.Second
+// limitCheckTime is how long the limits are announced after all faults have ended.
+const limitCheckTime = limitDelay + limitWindow + time.Second
 
-// calm checks, once all faults have ended, that a server of each kind that names a
-// limit gets no more than that: boxes that were killed, paused and cut off agree again
-// on who sends.
-func (w *world) calm(t *testing.T, rng *rand.Rand) {
+// checkLimits checks after all faults that one server of each service, with a rate limit, receives
+// no more requests than allowed: boxes that were killed, paused or disconnected share the
+// limit correctly again.
+func (w *testbed) checkLimits(t *testing.T, rng *rand.Rand) {
 	t.Helper()
 	var limited []*server
 	seen := map[string]bool{}
-	all := w.site.all()
-	// Of several starts under one id only the last one is used.
+	all := w.platform.all()
+	// Only the last server that was started under an id receives calls.
 	slices.Reverse(all)
 	for _, sv := range all {
-		if !sv.running() || seen[sv.service] {
+		if !sv.isRunning() || seen[sv.service] {
 			continue
 		}
 		seen[sv.service] = true
-		sv.nameLimit(calmLimits[rng.Intn(len(calmLimits))])
+		sv.announceLimit(limitsAfterFaults[rng.Intn(len(limitsAfterFaults))])
 		limited = append(limited, sv)
 	}
-	time.Sleep(calmTime)
+	time.Sleep(limitCheckTime)
 	for _, sv := range limited {
-		sv.endLimit()
+		sv.withdrawLimit()
 		l := sv.lastLimit()
-		most, all := sv.mostOf(l)
-		t.Logf("%s (%s) named %g a second: at most %d in %s, %d allowed, %d in all", sv.id, sv.service, l.perSecond, most, limitWindow, l.allowed(), all)
+		most, all := sv.countRequests(l)
+		t.Logf("%s (%s), limit %g per second: at most %d requests in %s, %d allowed, %d in total", sv.id, sv.service, l.perSecond, most, limitWindow, l.allowed(), all)
 		if most > l.allowed() {
-			t.Errorf("%s, which named a limit of %g a second, got %d requests in %s, %d are allowed", sv.id, l.perSecond, most, limitWindow, l.allowed())
+			t.Errorf("%s with a limit of %g per second received %d requests in %s, want at most %d", sv.id, l.perSecond, most, limitWindow, l.allowed())
 		}
 	}
 }
 
-// running tells whether the server takes calls and has not said that it leaves.
-func (sv *server) running() bool {
+// isRunning reports whether the server is up and not draining.
+func (sv *server) isRunning() bool {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	select {
@@ -210,45 +211,45 @@
 	}
 }
 
-// callAll lets callers send to all boxes until the function that it returns is called.
-func (w *world) callAll(t *testing.T, callers int) (stop func()) {
+// startLoad starts callers that send to all boxes. The returned function stops them.
+func (w *testbed) startLoad(t *testing.T, callers int) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	var work sync.WaitGroup
+	var wg sync.WaitGroup
 	for n := range callers {
-		work.Add(1)
+		wg.Add(1)
 		go func() {
-			defer work.Done()
+			defer wg.Done()
 			w.caller(n).run(ctx.Done())
 		}()
 	}
 	stop = func() {
 		cancel()
-		work.Wait()
+		wg.Wait()
 	}
 	t.Cleanup(stop)
 	return stop
 }
 
-// noneWithoutTarget checks that no call was refused for want of a target.
-func (w *world) noneWithoutTarget(t *testing.T) {
+// checkNoneRefused checks that no call was refused for lack of a target.
+func (w *testbed) checkNoneRefused(t *testing.T) {
 	t.Helper()
 	w.all.mu.Lock()
 	defer w.all.mu.Unlock()
 	for _, o := range w.all.outcomes {
 		if o.status == http.StatusServiceUnavailable && !strings.Contains(o.body, "budget") {
-			t.Errorf("request %s (%s) was refused while an engine had no limit: %s", o.id, o.route, o.body)
+			t.Errorf("request %s (%s) was refused although an engine had capacity: %s", o.id, o.route, o.body)
 			return
 		}
 	}
 }
 
-// usedAgain waits until a server whose limit has ended gets more than it allowed.
-func (w *world) usedAgain(t *testing.T, sv *server) {
+// waitTraffic waits until a server receives its usual traffic after its limit was withdrawn.
+func (w *testbed) waitTraffic(t *testing.T, sv *server) {
 	t.Helper()
-	// A new limit far above the traffic counts what comes.
-	const wide = 1000
-	sv.nameLimit(wide)
-	eventually(t, sv.id+" gets as much as before", func() bool {
+	// Arrivals are recorded only under a limit, so announce one far above the traffic.
+	const aboveTraffic = 1000
+	sv.announceLimit(aboveTraffic)
+	waitFor(t, sv.id+" receives its usual traffic again", func() bool {
 		sv.mu.Lock()
 		defer sv.mu.Unlock()
 		recent := 0
--- a/tests/soak/link_test.go
+++ b/tests/soak/link_test.go
@@ -11,34 +11,33 @@
 	"time"
 )
 
-// linkMode is what a link does to its connections.
+// linkMode is the fault that a link applies to its connections.
 type linkMode int
 
 const (
-	linkSound linkMode = iota
-	// linkDelayed holds every piece of bytes back for a time.
+	linkNormal linkMode = iota
+	// linkDelayed delays every read by linkDelay.
 	linkDelayed
-	// linkSilent takes bytes towards the server and passes none, and passes
-	// none back.
+	// linkSilent accepts bytes but forwards none in either direction.
 	linkSilent
-	// linkOneWay passes requests and no answers.
+	// linkOneWay forwards requests but no answers.
 	linkOneWay
 )
 
 const linkDelay = 150 * time.Millisecond
 
-// link is a loopback proxy before a server.
+// link is a loopback proxy in front of a server that injects network faults.
 type link struct {
-	address string
-	target  string
-	l       net.Listener
+	address  string
+	target   string
+	listener net.Listener
 
 	mu    sync.Mutex
 	mode  linkMode
 	conns map[net.Conn]bool
-	// open are the pairs of connections that are joined; a pair whose flag is set
-	// is silent for good.
-	open map[*atomic.Bool]bool
+	// muted has a flag for each open pair of connections; a pair whose flag is set
+	// forwards nothing for the rest of its life.
+	muted map[*atomic.Bool]bool
 }
 
 func newLink(target string) (*link, error) {
@@ -46,22 +45,22 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &link{address: l.Addr().String(), target: target, l: l, conns: map[net.Conn]bool{}, open: map[*atomic.Bool]bool{}}
+	k := &link{address: l.Addr().String(), target: target, listener: l, conns: map[net.Conn]bool{}, muted: map[*atomic.Bool]bool{}}
 	go k.accept()
 	return k, nil
 }
 
 func (k *link) accept() {
 	for {
-		c, err := k.l.Accept()
+		c, err := k.listener.Accept()
 		if err != nil {
 			return
 		}
-		go k.join(c)
+		go k.connect(c)
 	}
 }
 
-func (k *link) join(caller net.Conn) {
+func (k *link) connect(caller net.Conn) {
 	server, err := net.Dial("tcp", k.target)
 	if err != nil {
 		_ = caller.Close()
@@ -70,23 +69,23 @@
 	muted := &atomic.Bool{}
 	k.mu.Lock()
 	k.conns[caller], k.conns[server] = true, true
-	k.open[muted] = true
+	k.muted[muted] = true
 	k.mu.Unlock()
 	done := make(chan struct{}, 2)
-	go k.pass(server, caller, false, muted, done)
-	go k.pass(caller, server, true, muted, done)
+	go k.forward(server, caller, false, muted, done)
+	go k.forward(caller, server, true, muted, done)
 	<-done
 	_ = caller.Close()
 	_ = server.Close()
 	<-done
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	delete(k.open, muted)
+	delete(k.muted, muted)
 	delete(k.conns, caller)
 	delete(k.conns, server)
 }
 
-func (k *link) pass(to io.Writer, from io.Reader, answers bool, muted *atomic.Bool, done chan<- struct{}) {
+func (k *link) forward(to io.Writer, from io.Reader, answers bool, muted *atomic.Bool, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	buffer := make([]byte, 4096)
 	for {
@@ -97,7 +96,7 @@
 		if muted.Load() {
 			continue
 		}
-		for k.holds(answers) {
+		for k.mustWait(answers) {
 			time.Sleep(10 * time.Millisecond)
 		}
 		if _, err := to.Write(buffer[:n]); err != nil {
@@ -106,8 +105,8 @@
 	}
 }
 
-// holds tells whether bytes must wait; a delay is one wait.
-func (k *link) holds(answers bool) bool {
+// mustWait reports whether bytes must still wait. A delayed link sleeps here once instead.
+func (k *link) mustWait(answers bool) bool {
 	k.mu.Lock()
 	mode := k.mode
 	k.mu.Unlock()
@@ -124,16 +123,16 @@
 	k.mode = mode
 }
 
-// mute makes all open connections silent for good; new ones work.
+// mute permanently stops forwarding on all open connections; new ones are unaffected.
 func (k *link) mute() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for muted := range k.open {
+	for muted := range k.muted {
 		muted.Store(true)
 	}
 }
 
-// reset resets all open connections.
+// reset closes all open connections with a TCP reset.
 func (k *link) reset() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -146,7 +145,7 @@
 }
 
 func (k *link) close() {
-	k.set(linkSound)
-	_ = k.l.Close()
+	k.set(linkNormal)
+	_ = k.listener.Close()
 	k.reset()
 }
--- /dev/null
+++ b/tests/soak/platform_test.go
@@ -0,0 +1,440 @@
+// Copyright 2026 The Havenwinch Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package soak
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"io"
+	"math/rand"
+	"net"
+	"net/http"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+)
+
+// platform simulates the users' platform as its published interface describes it: servers
+// that register themselves and an operator. It records what both observe.
+type platform struct {
+	control []string
+
+	mu sync.Mutex
+	// runs counts, by request id, how often a server executed a request.
+	runs map[string]int
+	// tokensUsed has the tokens that each tenant has used at servers.
+	tokensUsed map[string]uint64
+	// promptCounted has the requests whose prompt is included in tokensUsed.
+	promptCounted map[string]bool
+	// ackedVersion is the highest configuration version that control acknowledged.
+	ackedVersion uint64
+	servers      []*server
+	// violations describes the violations found so far.
+	violations []string
+	// crashes counts the server crashes, by body of the call.
+	crashes map[string]int
+	// visits has the times of arrival and completion, by request id.
+	visits map[string]*visits
+	// headDelay delays the response head of streams whose id ends in 1. It must be set
+	// before callers send.
+	headDelay time.Duration
+	// lastNewID is the number of server ids returned by newServerID.
+	lastNewID int
+	// cleanups run at the end of the test.
+	cleanups []func()
+	// failures has the error statuses that servers sent, by request id.
+	failures map[string]map[int]bool
+	// truncated has the ids of the requests with a truncated or unframed answer.
+	truncated map[string]bool
+	// copies counts, by request id, the unused copies of stopped runs.
+	copies map[string]int
+	// moved is the number of all runs that were stopped to move them.
+	moved int
+	// disruptions explains which answers may be truncated.
+	disruptions *disruptions
+}
+
+// addCleanup registers a function to call at the end of the test.
+func (s *platform) addCleanup(do func()) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.cleanups = append(s.cleanups, do)
+}
+
+func (s *platform) cleanUp() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, do := range s.cleanups {
+		do()
+	}
+}
+
+func newPlatform(control []string) *platform {
+	return &platform{control: control, runs: map[string]int{}, tokensUsed: map[string]uint64{}, promptCounted: map[string]bool{}, crashes: map[string]int{}, visits: map[string]*visits{}, failures: map[string]map[int]bool{}, truncated: map[string]bool{}, copies: map[string]int{}, disruptions: newDisruptions()}
+}
+
+// violation records a violation, which fails the test at its end.
+func (s *platform) violation(format string, args ...any) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.violations = append(s.violations, fmt.Sprintf(format, args...))
+}
+
+func (s *platform) runCount(id string) int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.runs[id]
+}
+
+// recordRun records that a server executes a request. The prompt counts once per request.
+func (s *platform) recordRun(id, tenant string, prompt uint64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.runs[id]++
+	if !s.promptCounted[id] {
+		s.promptCounted[id] = true
+		s.tokensUsed[tenant] += prompt
+	}
+}
+
+func (s *platform) recordTokens(tenant string, tokens uint64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.tokensUsed[tenant] += tokens
+}
+
+const (
+	engineService     = "engines"
+	plainService      = "portal"
+	stride            = 5
+	heartbeatInterval = 200 * time.Millisecond
+	callTimeout       = time.Second
+)
+
+// server simulates one instance of a model engine or of a plain service.
+type server struct {
+	platform *platform
+	id       string
+	service  string
+	http     *http.Server
+	link     *link
+
+	mu       sync.Mutex
+	state    string
+	sequence int
+	// startedAt is the start time in Unix milliseconds.
+	startedAt int64
+	// drainAckedAt is when control acknowledged that the server is draining.
+	drainAckedAt time.Time
+	// failShare is the share of requests that get no answer.
+	failShare float64
+	// faultyShare is the share of requests that get a faulty answer.
+	faultyShare float64
+	// runs has the answers being generated, by request id.
+	runs map[string]*run
+	// prefillMu is write-locked during the prefill of a long prompt.
+	prefillMu sync.RWMutex
+	// limits are the rate limits announced so far, the current one last.
+	limits []announcedLimit
+	// arrivals are the times of the requests received under a rate limit, oldest first.
+	arrivals []time.Time
+	rng      *rand.Rand
+	quit     chan struct{}
+	stopping sync.Once
+}
+
+// all returns all servers started so far, including those that have stopped.
+func (s *platform) all() []*server {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return slices.Clone(s.servers)
+}
+
+// newServerID returns a server id that has not been used before.
+func (s *platform) newServerID() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.lastNewID++
+	return fmt.Sprintf("i-new-%d", s.lastNewID)
+}
+
+func (s *platform) startServer(id, service string, seed int64) (*server, error) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return nil, err
+	}
+	proxy, err := newLink(l.Addr().String())
+	if err != nil {
+		return nil, err
+	}
+	sv := &server{platform: s, id: id, service: service, link: proxy, state: "ready", startedAt: time.Now().UnixMilli(), rng: rand.New(rand.NewSource(seed)), quit: make(chan struct{}), runs: map[string]*run{}}
+	sv.http = &http.Server{Handler: sv, ConnContext: withConn}
+	go func() { _ = sv.http.Serve(repeatingListener{l}) }()
+	go sv.sendHeartbeats()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.servers = append(s.servers, sv)
+	return sv, nil
+}
+
+func (sv *server) stop() {
+	sv.stopping.Do(func() {
+		close(sv.quit)
+		_ = sv.http.Close()
+		sv.link.close()
+	})
+}
+
+func (sv *server) sendHeartbeats() {
+	for {
+		sv.sendHeartbeat()
+		select {
+		case <-sv.quit:
+			return
+		case <-time.After(heartbeatInterval):
+		}
+	}
+}
+
+func (sv *server) sendHeartbeat() {
+	sv.mu.Lock()
+	sv.sequence++
+	state := sv.state
+	body, _ := json.Marshal(map[string]any{
+		"service": sv.service, "address": sv.link.address, "zone": "zone-a", "version": "v1", "slots": 8,
+		"state": state, "cold_remaining_ms": 0, "sequence": sv.sequence, "born": sv.startedAt,
+	})
+	sv.mu.Unlock()
+	for _, address := range sv.platform.control {
+		if status, _ := put("http://"+address+"/api/instances/"+sv.id, body); status == http.StatusOK {
+			sv.mu.Lock()
+			if state == "draining" && sv.drainAckedAt.IsZero() {
+				sv.drainAckedAt = time.Now()
+			}
+			sv.mu.Unlock()
+			return
+		}
+	}
+}
+
+func (sv *server) drain() {
+	sv.mu.Lock()
+	defer sv.mu.Unlock()
+	sv.state = "draining"
+}
+
+var httpClient = &http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
+
+func put(url string, body []byte) (int, error) {
+	req, err := http.NewRequest(http.MethodPut, url, bytes.NewReader(body))
+	if err != nil {
+		return 0, err
+	}
+	resp, err := httpClient.Do(req)
+	if err != nil {
+		return 0, err
+	}
+	defer resp.Body.Close()
+	_, _ = io.Copy(io.Discard, resp.Body)
+	return resp.StatusCode, nil
+}
+
+// drainBound is how long after control has acknowledged that a server is draining a
+// request may still arrive there.
+const drainBound = 5 * time.Second
+
+// ServeHTTP implements http.Handler.
+func (sv *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	if sv.handleCommand(w, r) {
+		return
+	}
+	body, err := io.ReadAll(r.Body)
+	if err != nil {
+		return
+	}
+	id := r.Header.Get("Attempt-Id")
+	if r.Header.Get("Expect-Instance") != sv.id {
+		w.WriteHeader(http.StatusMisdirectedRequest)
+		return
+	}
+	sv.mu.Lock()
+	left, fails := sv.drainAckedAt, sv.rng.Float64() < sv.failShare
+	sv.recordLimited(w.Header())
+	sv.mu.Unlock()
+	if !left.IsZero() && time.Since(left) > drainBound {
+		sv.platform.violation("server %s received request %s %s after control had acknowledged that it is draining", sv.id, id, time.Since(left))
+	}
+	if r.Header.Get("Api-Key") != "" || r.Header.Get("Tenant") == "" {
+		sv.platform.violation("server %s received API key %q and tenant %q with request %s", sv.id, r.Header.Get("Api-Key"), r.Header.Get("Tenant"), id)
+	}
+	sv.platform.disruptions.recordWorker(id, sv.id)
+	if strings.HasPrefix(string(body), crashBody) {
+		sv.crashDuring(w, r, string(body))
+	}
+	if want := "body of " + id; string(body) != want {
+		sv.platform.violation("request %s arrived with an unexpected body %q", id, body)
+	}
+	sv.platform.recordArrival(id)
+	defer sv.platform.recordCompletion(id)
+	prompt, limit := tokensOf(r.Header.Get("Token-Count"))
+	w.Header().Set("Attempt-Id", id)
+	if r.Header.Get("Kv-From") == "" {
+		sv.platform.recordRun(id, r.Header.Get("Tenant"), prompt)
+		sv.prefill(prompt)
+	} else if !sv.platform.takeCopy(id) {
+		w.Header().Set("Not-Executed", "1")
+		w.WriteHeader(http.StatusServiceUnavailable)
+		return
+	}
+	if fails {
+		panic(http.ErrAbortHandler)
+	}
+	w.Header().Set("Server-Signature", sv.id)
+	if sv.sendFaulty(w, r, id, sv.answerForm(r)) {
+		return
+	}
+	if strings.HasPrefix(r.URL.Path, "/plain/") {
+		_, _ = io.WriteString(w, "answer to "+id)
+		return
+	}
+	sv.stream(w, r, id, limit)
+}
+
+func tokensOf(text string) (prompt, limit uint64) {
+	a, b, _ := strings.Cut(text, ",")
+	prompt, _ = strconv.ParseUint(a, 10, 64)
+	limit, _ = strconv.ParseUint(b, 10, 64)
+	return prompt, limit
+}
+
+// events returns the number of events in an answer of limit tokens.
+func events(limit uint64) int { return int(limit) / stride }
+
+func event(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s %d\n\n", n, id, n) }
+
+// stream sends the events after the one in Last-Event-Id, or all events without it.
+func (sv *server) stream(w http.ResponseWriter, r *http.Request, id string, limit uint64) {
+	first := 0
+	if last, err := strconv.Atoi(r.Header.Get("Last-Event-Id")); err == nil {
+		first = last + 1
+	}
+	if sv.platform.headDelay > 0 && strings.HasSuffix(id, "1") {
+		select {
+		case <-r.Context().Done():
+			return
+		case <-time.After(sv.platform.headDelay):
+		}
+	}
+	w.Header().Set("Content-Type", "text/event-stream")
+	w.WriteHeader(http.StatusOK)
+	run := sv.startRun(id)
+	defer sv.endRun(id)
+	for n := first; n < events(limit); n++ {
+		sv.prefillMu.RLock()
+		//lint:ignore SA2001 events are only held up while a prompt is read
+		sv.prefillMu.RUnlock()
+		select {
+		case <-r.Context().Done():
+			return
+		case <-run.stopped:
+			panic(http.ErrAbortHandler)
+		case <-sv.quit:
+			panic(http.ErrAbortHandler)
+		case <-time.After(eventPause):
+		}
+		sv.platform.recordTokens(r.Header.Get("Tenant"), stride)
+		if _, err := io.WriteString(w, event(id, n)); err != nil {
+			return
+		}
+		w.(http.Flusher).Flush()
+	}
+}
+
+const eventPause = 4 * time.Millisecond
+
+// Token budgets of the tenants "large" and "small".
+const (
+	prepaid      = 40_000_000
+	prepaidSmall = 12_000
+)
+
+// configuration returns a configuration document in which the given keys are additional
+// API keys of tenant "large".
+func configuration(version uint64, keys ...string) []byte {
+	route := func(name, kind string, attempts int, resume bool) map[string]any {
+		service := engineService
+		if strings.HasPrefix(name, "plain") {
+			service = plainService
+		}
+		return map[string]any{"name": name, "hostname": "site.example", "path_prefix": "/" + name + "/", "type": kind, "timeout_ms": 8000,
+			"target_latency_ms": 2000, "itl_target_ms": itlTarget, "priority": 1, "service": service, "max_attempts": attempts, "public": false, "stream_resume": resume}
+	}
+	document := map[string]any{
+		"version": version,
+		"routes": []any{
+			route("plain/safe", "safe", 2, false), route("plain/unsafe", "unsafe", 1, false),
+			route("stream/resume", "streaming", 2, true), route("stream/once", "streaming", 1, false),
+		},
+		"services": []any{
+			map[string]any{"name": engineService, "health_path": "/healthz", "max_connections": 100, "engine": map[string]any{"slots": 8, "kv_capacity_tokens": 100000, "stride": stride, "moves": true}},
+			map[string]any{"name": plainService, "health_path": "/healthz", "max_connections": 100},
+		},
+		"limits": map[string]any{"max_header_bytes": 16384, "max_body_bytes": 65536, "header_timeout_ms": 3000, "idle_timeout_ms": 15000},
+		"tenants": []any{
+			map[string]any{"name": "large", "api_keys": append([]string{"key-large"}, keys...), "priority": 1, "prepaid": prepaid},
+			map[string]any{"name": "small", "api_keys": []string{"key-small"}, "priority": 1, "prepaid": prepaidSmall},
+		},
+	}
+	body, _ := json.Marshal(document)
+	return body
+}
+
+// configure sends a configuration to the control boxes in turn until one acknowledges it.
+// It reports whether that happened within the limit.
+func (s *platform) configure(version uint64, limit time.Duration, keys ...string) bool {
+	body := configuration(version, keys...)
+	for deadline := time.Now().Add(limit); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
+		for _, address := range s.control {
+			if status, _ := put("http://"+address+"/api/configuration", body); status == http.StatusOK {
+				s.mu.Lock()
+				s.ackedVersion = max(s.ackedVersion, version)
+				s.mu.Unlock()
+				return true
+			}
+		}
+	}
+	return false
+}
+
+// readVersion returns the configuration version at a control box, or 0 if it cannot be read.
+func readVersion(address string) uint64 {
+	resp, err := httpClient.Get("http://" + address + "/api/configuration")
+	if err != nil {
+		return 0
+	}
+	defer resp.Body.Close()
+	var document struct {
+		Version uint64 `json:"version"`
+	}
+	if resp.StatusCode != http.StatusOK || json.NewDecoder(resp.Body).Decode(&document) != nil {
+		return 0
+	}
+	return document.Version
+}
+
+// checkReads checks that no control box returns a version older than one that was
+// acknowledged before the read.
+func (s *platform) checkReads() {
+	for _, address := range s.control {
+		s.mu.Lock()
+		acked := s.ackedVersion
+		s.mu.Unlock()
+		if version := readVersion(address); version != 0 && version < acked {
+			s.violation("%s returned configuration version %d after version %d was acknowledged", address, version, acked)
+		}
+	}
+}
--- a/tests/soak/soak_test.go
+++ b/tests/soak/soak_test.go
@@ -16,25 +16,25 @@
 	"time"
 )
 
-// regressions are seeds that failed once, with the cause.
+// regressions are seeds that have failed before, with the cause.
 var regressions = map[int64]string{
-	313:  "an entry box was not ready a minute after all faults had ended, once, beside load; see docs/FINDINGS.md",
-	3026: "data race: rows of targets were changed while calls read them",
-	8002: "an entry box answered nobody: a report asked the placement under the lock of the leases, and that asked them",
+	313:  "an entry box was not ready a minute after all faults had ended (once, under load); see docs/FINDINGS.md",
+	3026: "data race: rows of the target table were modified while calls read them",
+	8002: "deadlock of an entry box: a report called the placement while holding the lock of the leases, and the placement called the leases",
 }
 
 const (
-	// defaultSeconds is how long a run of one seed is; SOAK_SECONDS sets it.
+	// defaultSeconds is the duration of fault injection per seed; SOAK_SECONDS overrides it.
 	defaultSeconds = 6
 	soakCallers    = 12
-	// One seed of largeEvery has many entry boxes, so that most of them draw on
-	// leases that others hold.
+	// One in largeEvery seeds has largeEntries entry boxes, so that most of them draw on
+	// leases held by other boxes.
 	largeEvery   = 8
 	largeEntries = 20
 )
 
-// TestSoak plays random faults: the seeds of SOAK_SEEDS ("first,count"), or one
-// fixed seed and the regressions.
+// TestSoak injects random faults, with the seeds of SOAK_SEEDS ("first,count") or with a
+// few fixed seeds and the regressions.
 func TestSoak(t *testing.T) {
 	seeds := []int64{11, 7007, 8008}
 	for seed := range regressions {
@@ -43,7 +43,7 @@
 	if text := os.Getenv("SOAK_SEEDS"); text != "" {
 		var first, count int64
 		if _, err := fmt.Sscanf(text, "%d,%d", &first, &count); err != nil {
-			t.Fatalf("SOAK_SEEDS=%q: name the first seed and their number, as 100,50", text)
+			t.Fatalf("SOAK_SEEDS=%q: want the first seed and the number of seeds, such as 100,50", text)
 		}
 		seeds = nil
 		for i := range count {
@@ -54,7 +54,7 @@
 	if text := os.Getenv("SOAK_SECONDS"); text != "" {
 		var err error
 		if seconds, err = strconv.Atoi(text); err != nil || seconds < 1 {
-			t.Fatalf("SOAK_SECONDS=%q: name a number of seconds", text)
+			t.Fatalf("SOAK_SECONDS=%q: want a positive number of seconds", text)
 		}
 	}
 	for _, seed := range seeds {
@@ -62,186 +62,187 @@
 	}
 }
 
-// soak runs callers, an operator and faults at once, brings everything back,
-// and looks whether it is served again.
+// soak runs callers, configuration changes and faults concurrently, then ends all faults
+// and checks that requests are served again.
 func soak(t *testing.T, seed int64, length time.Duration) {
 	rng := rand.New(rand.NewSource(seed))
 	controls, entries := 3+rng.Intn(2), 2+rng.Intn(3)
 	if seed%largeEvery == largeEvery-1 {
 		entries = largeEntries
 	}
-	w := newWorld(t, seed, controls, entries, 3, 2)
+	w := newTestbed(t, seed, controls, entries, 3, 2)
 	t.Cleanup(func() {
 		if t.Failed() {
-			w.keepLogs(t, seed)
+			w.saveLogs(t, seed)
 		}
 	})
 	stop := make(chan struct{})
-	work := w.startCallers(stop)
-	work.Add(1)
+	wg := w.startCallers(stop)
+	wg.Add(1)
 	go func() {
-		defer work.Done()
-		w.operate(stop, rand.New(rand.NewSource(seed+1)))
+		defer wg.Done()
+		w.changeConfiguration(stop, rand.New(rand.NewSource(seed+1)))
 	}()
 	fatal := make(chan string, 1)
-	go func() { fatal <- w.repeatFatal(stop, rand.New(rand.NewSource(seed+2))) }()
+	go func() { fatal <- w.repeatCrashingCall(stop, rand.New(rand.NewSource(seed+2))) }()
 	for end := time.Now().Add(length); time.Now().Before(end); time.Sleep(time.Duration(100+rng.Intn(500)) * time.Millisecond) {
-		w.fault(t, rng)
+		w.injectFault(t, rng)
 	}
-	w.heal(t)
+	w.endFaults(t)
 	c := w.caller(5000)
 	for _, route := range []string{"plain/unsafe", "stream/resume"} {
-		eventually(t, "after the faults "+route+" is served", func() bool {
+		waitFor(t, "after all faults "+route+" is served", func() bool {
 			c.count++
-			o := c.ask(fmt.Sprintf("healed-%s-%d", route[:5], c.count), route, "key-large")
-			w.all.take(o)
-			return o.status == 200 && o.whole
+			o := c.send(fmt.Sprintf("healed-%s-%d", route[:5], c.count), route, "key-large")
+			w.all.record(o)
+			return o.status == 200 && o.complete
 		})
 	}
 	if seed >= limitKindsFrom {
-		w.calm(t, rng)
+		w.checkLimits(t, rng)
 	}
 	close(stop)
-	work.Wait()
-	ended := w.site.endedUnder(<-fatal)
-	t.Logf("%d servers ended under the call that came again", ended)
-	if ended > mostUnderFaults {
-		t.Errorf("%d servers ended under one call, want at most %d", ended, mostUnderFaults)
+	wg.Wait()
+	crashed := w.platform.crashCount(<-fatal)
+	t.Logf("the repeated call crashed %d servers", crashed)
+	if crashed > maxCrashesUnderFaults {
+		t.Errorf("one call crashed %d servers, want at most %d", crashed, maxCrashesUnderFaults)
 	}
-	w.site.mu.Lock()
-	t.Logf("%d runs were stopped to move", w.site.moved)
-	w.site.mu.Unlock()
-	w.site.checkReads()
-	w.verdict(t)
+	w.platform.mu.Lock()
+	t.Logf("%d runs were stopped to move them", w.platform.moved)
+	w.platform.mu.Unlock()
+	w.platform.checkReads()
+	w.checkResults(t)
 }
 
-// startCallers has callers send requests until the channel is closed.
-func (w *world) startCallers(stop <-chan struct{}) *sync.WaitGroup {
-	work := &sync.WaitGroup{}
+// startCallers starts callers that send requests until stop is closed.
+func (w *testbed) startCallers(stop <-chan struct{}) *sync.WaitGroup {
+	wg := &sync.WaitGroup{}
 	for n := range soakCallers {
-		work.Add(1)
+		wg.Add(1)
 		go func() {
-			defer work.Done()
+			defer wg.Done()
 			w.caller(n).run(stop)
 		}()
 	}
-	return work
+	return wg
 }
 
-// operate changes the configuration and reads it back.
-func (w *world) operate(stop <-chan struct{}, rng *rand.Rand) {
+// changeConfiguration repeatedly changes the configuration and reads it back until stop is closed.
+func (w *testbed) changeConfiguration(stop <-chan struct{}, rng *rand.Rand) {
 	for version := uint64(10); ; version += uint64(1 + rng.Intn(3)) {
 		select {
 		case <-stop:
 			return
 		case <-time.After(time.Duration(100+rng.Intn(600)) * time.Millisecond):
 		}
-		w.site.configure(version, 2*time.Second, fmt.Sprint("key-", version))
-		w.site.checkReads()
+		w.platform.configure(version, 2*time.Second, fmt.Sprint("key-", version))
+		w.platform.checkReads()
 	}
 }
 
-// faultKinds are the faults of a run. Those after the first ones came later: seeds
-// below laterKindsFrom keep the schedules that they had.
-var faultKinds = []string{"kill", "term", "hup", "pause", "herd", "wipe", "delay", "silent", "one way", "reset", "grey", "release", "crash", "mute", "limit", "stutter", "stutter"}
+// faultKinds are the kinds of faults, in the order in which they were added. Seeds below
+// crashKindsFrom use the first kinds only, those below limitKindsFrom and faultyAnswersFrom
+// correspondingly more, so that old seeds keep their schedules.
+var faultKinds = []string{"kill", "term", "hup", "pause", "kill all", "wipe disk", "delay", "silent", "one way", "reset", "dropped answers", "replace server", "crash", "mute", "rate limit", "faulty answers", "faulty answers"}
 
 const (
-	firstKinds     = 12
-	laterKindsFrom = 7000
-	secondKinds    = 14
-	limitKindsFrom = 8000
-	thirdKinds     = 15
-	oddKindsFrom   = 9000
+	kindsBefore7000   = 12
+	crashKindsFrom    = 7000
+	kindsBefore8000   = 14
+	limitKindsFrom    = 8000
+	kindsBefore9000   = 15
+	faultyAnswersFrom = 9000
 )
 
-// fault brings one fault about; several may overlap.
-func (w *world) fault(t *testing.T, rng *rand.Rand) {
+// injectFault injects one random fault. Faults may overlap.
+func (w *testbed) injectFault(t *testing.T, rng *rand.Rand) {
 	b := w.boxes[rng.Intn(len(w.boxes))]
-	w.site.mu.Lock()
-	sv := w.site.servers[rng.Intn(len(w.site.servers))]
-	w.site.mu.Unlock()
-	for_ := time.Duration(200+rng.Intn(1800)) * time.Millisecond
-	later := func(do func()) { time.AfterFunc(for_, do) }
+	w.platform.mu.Lock()
+	sv := w.platform.servers[rng.Intn(len(w.platform.servers))]
+	w.platform.mu.Unlock()
+	duration := time.Duration(200+rng.Intn(1800)) * time.Millisecond
+	afterwards := func(do func()) { time.AfterFunc(duration, do) }
 	kinds := faultKinds
 	switch {
-	case w.all.seed < laterKindsFrom:
-		kinds = faultKinds[:firstKinds]
+	case w.all.seed < crashKindsFrom:
+		kinds = faultKinds[:kindsBefore7000]
 	case w.all.seed < limitKindsFrom:
-		kinds = faultKinds[:secondKinds]
-	case w.all.seed < oddKindsFrom:
-		kinds = faultKinds[:thirdKinds]
+		kinds = faultKinds[:kindsBefore8000]
+	case w.all.seed < faultyAnswersFrom:
+		kinds = faultKinds[:kindsBefore9000]
 	}
 	kind := kinds[rng.Intn(len(kinds))]
-	t.Logf("%s on %s and %s for %s", kind, b.name, sv.id, for_)
-	w.noteReasons(kind, b, sv, for_)
+	t.Logf("%s on %s and %s for %s", kind, b.name, sv.id, duration)
+	w.recordDisruption(kind, b, sv, duration)
 	switch kind {
 	case "kill":
 		b.signal(syscall.SIGKILL)
-		later(func() { _ = b.start() })
+		afterwards(func() { _ = b.start() })
 	case "term":
-		ended := b.signal(syscall.SIGTERM)
+		exited := b.signal(syscall.SIGTERM)
 		go func() {
-			<-ended
+			<-exited
 			_ = b.start()
 		}()
 	case "hup":
 		b.signal(syscall.SIGHUP)
 	case "pause":
 		b.signal(syscall.SIGSTOP)
-		later(func() { b.signal(syscall.SIGCONT) })
-	case "herd":
+		afterwards(func() { b.signal(syscall.SIGCONT) })
+	case "kill all":
 		for _, other := range w.boxes {
 			other.signal(syscall.SIGKILL)
 		}
-		later(func() {
+		afterwards(func() {
 			for _, other := range w.boxes {
 				_ = other.start()
 			}
 		})
-	case "wipe":
-		w.wipe(rng)
+	case "wipe disk":
+		w.wipeDisk(rng)
 	case "delay":
 		sv.link.set(linkDelayed)
-		later(func() { sv.link.set(linkSound) })
+		afterwards(func() { sv.link.set(linkNormal) })
 	case "silent":
 		sv.link.set(linkSilent)
-		later(func() { sv.link.set(linkSound) })
+		afterwards(func() { sv.link.set(linkNormal) })
 	case "one way":
 		sv.link.set(linkOneWay)
-		later(func() { sv.link.set(linkSound) })
+		afterwards(func() { sv.link.set(linkNormal) })
 	case "reset":
 		sv.link.reset()
-	case "release":
-		w.release(t, rng)
-	case "limit":
-		sv.nameLimit(stormLimits[rng.Intn(len(stormLimits))])
-		later(sv.endLimit)
+	case "replace server":
+		w.replaceServer(t, rng)
+	case "rate limit":
+		sv.announceLimit(limitsDuringFaults[rng.Intn(len(limitsDuringFaults))])
+		afterwards(sv.withdrawLimit)
 	case "mute":
-		for _, other := range w.site.all() {
+		for _, other := range w.platform.all() {
 			other.link.mute()
 		}
 	case "crash":
 		id := sv.id
 		if rng.Intn(2) == 0 {
-			id = w.site.freshID()
+			id = w.platform.newServerID()
 		}
 		sv.crash(id)
-	case "stutter":
-		for _, other := range w.site.all() {
-			other.stutter(0.3)
+	case "faulty answers":
+		for _, other := range w.platform.all() {
+			other.setFaultyShare(0.3)
 		}
-		later(func() {
-			for _, other := range w.site.all() {
-				other.stutter(0)
+		afterwards(func() {
+			for _, other := range w.platform.all() {
+				other.setFaultyShare(0)
 			}
 		})
-	case "grey":
-		sv.grey(0.5)
-		later(func() { sv.grey(0) })
+	case "dropped answers":
+		sv.setFailShare(0.5)
+		afterwards(func() { sv.setFailShare(0) })
 	}
 }
 
-// withoutRequests leaves out the lines about single requests and grants.
+// withoutRequests returns the log without the lines about requests, leases and targets.
 func withoutRequests(log string) string {
 	var kept []string
 	for _, line := range strings.Split(log, "\n") {
@@ -252,51 +253,51 @@
 	return strings.Join(kept, "\n")
 }
 
-// release starts a server in place of one that drains.
-func (w *world) release(t *testing.T, rng *rand.Rand) {
-	w.site.mu.Lock()
-	number := len(w.site.servers)
-	old := w.site.servers[rng.Intn(number)]
-	w.site.mu.Unlock()
-	fresh, err := w.site.start(fmt.Sprintf("i-%d", number), old.service, w.all.seed+int64(number))
+// replaceServer starts a new server and drains one of the others.
+func (w *testbed) replaceServer(t *testing.T, rng *rand.Rand) {
+	w.platform.mu.Lock()
+	count := len(w.platform.servers)
+	old := w.platform.servers[rng.Intn(count)]
+	w.platform.mu.Unlock()
+	replacement, err := w.platform.startServer(fmt.Sprintf("i-%d", count), old.service, w.all.seed+int64(count))
 	if err != nil {
 		t.Error(err)
 		return
 	}
-	t.Cleanup(fresh.stop)
-	w.site.reasons.disturb(old.id, drainBound)
+	t.Cleanup(replacement.stop)
+	w.platform.disruptions.recordFault(old.id, drainBound)
 	old.drain()
 }
 
-func (sv *server) grey(share float64) {
+func (sv *server) setFailShare(share float64) {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	sv.failShare = share
 }
 
-// wipe takes the disk of the one control box that may lose it: always the
-// same, so that never more disks are lost at once than is allowed.
-func (w *world) wipe(rng *rand.Rand) {
-	b := w.of("control")[0]
+// wipeDisk kills the first control box, deletes its data and restarts it. It is always the same
+// box, so that never more disks are lost at once than tolerated.
+func (w *testbed) wipeDisk(rng *rand.Rand) {
+	b := w.withRole("control")[0]
 	<-b.signal(syscall.SIGKILL)
-	_ = os.RemoveAll(b.folder)
+	_ = os.RemoveAll(b.dir)
 	time.Sleep(time.Duration(rng.Intn(200)) * time.Millisecond)
 	_ = b.start()
 }
 
-// heal brings everything back.
-func (w *world) heal(t *testing.T) {
+// endFaults ends all faults and waits until all processes run and the entry boxes are ready.
+func (w *testbed) endFaults(t *testing.T) {
 	t.Helper()
-	for _, sv := range w.site.all() {
-		sv.link.set(linkSound)
-		sv.grey(0)
-		sv.stutter(0)
-		sv.endLimit()
+	for _, sv := range w.platform.all() {
+		sv.link.set(linkNormal)
+		sv.setFailShare(0)
+		sv.setFaultyShare(0)
+		sv.withdrawLimit()
 	}
 	for _, b := range w.boxes {
 		b.signal(syscall.SIGCONT)
 	}
-	eventually(t, "all processes run", func() bool {
+	waitFor(t, "all processes run", func() bool {
 		running := true
 		for _, b := range w.boxes {
 			if err := b.start(); err != nil {
@@ -312,12 +313,12 @@
 	w.ready(t)
 }
 
-// keepLogs keeps the logs of a run that failed: in the folder SOAK_LOGS names,
-// and what is not about requests in the test's output, so that a failure that
-// shows once can be traced.
-func (w *world) keepLogs(t *testing.T, seed int64) {
+// saveLogs saves the logs of a failed run, so that a failure that does not recur can be
+// investigated: completely in the directory SOAK_LOGS, if it is set, and the last lines
+// that are not about requests in the test output.
+func (w *testbed) saveLogs(t *testing.T, seed int64) {
 	for _, b := range w.boxes {
-		t.Logf("%s, last lines that are not about requests:\n%s", b.name, lastLines(withoutRequests(b.lines())))
+		t.Logf("%s, end of the log without requests:\n%s", b.name, logTail(withoutRequests(b.logText())))
 	}
 	folder := os.Getenv("SOAK_LOGS")
 	if folder == "" {
@@ -325,7 +326,7 @@
 	}
 	for _, b := range w.boxes {
 		path := filepath.Join(folder, fmt.Sprintf("seed-%d-%s.log", seed, b.name))
-		if err := os.WriteFile(path, []byte(b.lines()), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(b.logText()), 0o600); err != nil {
 			t.Log(err)
 		}
 	}
--- a/tests/soak/versions_test.go
+++ b/tests/soak/versions_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// earlierBin returns the folder of the daemon of an earlier version, which the
-// environment names. Without it the version at hand takes both parts.
+// earlierBin returns the directory with the daemon of an earlier version, which
+// HAVENWINCH_EARLIER_BIN sets. Without it the current version takes both roles.
 func earlierBin() string {
 	if folder := os.Getenv("HAVENWINCH_EARLIER_BIN"); folder != "" {
 		return folder
@@ -20,15 +20,15 @@
 	return bin
 }
 
-// runFrom sets the daemon that boxes run from their next start on.
-func runFrom(folder string, boxes ...*box) {
+// useBinary sets the directory of the binary that boxes run from their next start on.
+func useBinary(folder string, boxes ...*box) {
 	for _, b := range boxes {
 		b.bin = folder
 	}
 }
 
-// named returns the box of that name.
-func (f *fleet) named(t *testing.T, name string) *box {
+// boxNamed returns the box with the given name.
+func (f *fleet) boxNamed(t *testing.T, name string) *box {
 	t.Helper()
 	for _, b := range f.boxes {
 		if b.name == name {
@@ -39,52 +39,51 @@
 	return nil
 }
 
-// TestDataOfAnEarlierVersion guards against a version that reads the log, the snapshots
-// or the settings of an earlier one wrongly: the configuration, an exhausted budget, the
-// members and the quarantined calls outlive the change of version.
+// TestDataOfAnEarlierVersion guards against a version that misreads the log, the snapshots
+// or the settings of an earlier one: the configuration, an exhausted budget, the members
+// and the quarantined calls must survive the upgrade.
 func TestDataOfAnEarlierVersion(t *testing.T) {
-	const body, route = fatalBody + " before the change of version", "plain/unsafe"
+	const body, route = crashBody + " before the upgrade", "plain/unsafe"
 	f := newFleet(t, 3, 2)
-	runFrom(earlierBin(), f.boxes...)
-	w := startWorld(t, f, 31, 2, 3)
+	useBinary(earlierBin(), f.boxes...)
+	w := startTestbed(t, f, 31, 2, 3)
 	c := w.caller(0)
-	w.runDry(t, c)
-	if !w.site.configure(2, waitLimit, "key-of-version-2") {
+	w.exhaustBudget(t, c)
+	if !w.platform.configure(2, waitLimit, "key-of-version-2") {
 		t.Fatal("the configuration was not acknowledged")
 	}
-	w.refusedEverywhere(t, route, body)
-	ended := w.site.endedUnder(body)
+	w.waitQuarantined(t, route, body)
+	crashed := w.platform.crashCount(body)
 	w.killAll()
-	runFrom(bin, f.boxes...)
+	useBinary(bin, f.boxes...)
 	w.startAll(t)
-	for _, address := range w.site.control {
-		eventually(t, address+" has the configuration of the earlier version", func() bool { return readVersion(address) == 2 })
+	for _, address := range w.platform.control {
+		waitFor(t, address+" has the configuration of the earlier version", func() bool { return readVersion(address) == 2 })
 	}
 	w.ready(t)
-	w.servesKey(t, "key-of-version-2")
-	w.refusedEverywhere(t, route, body)
-	if after := w.site.endedUnder(body); after != ended {
-		t.Errorf("%d servers more ended under the quarantined call after the change of version", after-ended)
+	w.waitKeyServed(t, "key-of-version-2")
+	w.waitQuarantined(t, route, body)
+	if after := w.platform.crashCount(body); after != crashed {
+		t.Errorf("the quarantined call crashed %d more servers after the upgrade", after-crashed)
 	}
-	eventually(t, "the small budget is refused as exhausted after the change of version", func() bool {
+	waitFor(t, "the small budget is refused as exhausted after the upgrade", func() bool {
 		c.count++
-		o := c.ask(fmt.Sprintf("exhausted-%d", c.count), "stream/once", "key-small")
-		w.all.take(o)
+		o := c.send(fmt.Sprintf("exhausted-%d", c.count), "stream/once", "key-small")
+		w.all.record(o)
 		return o.status == http.StatusPaymentRequired
 	})
-	if !w.site.configure(3, waitLimit) {
-		t.Fatal("a configuration was not acknowledged after the change of version")
+	if !w.platform.configure(3, waitLimit) {
+		t.Fatal("a configuration was not acknowledged after the upgrade")
 	}
-	for _, address := range w.site.control {
-		eventually(t, address+" has the new configuration", func() bool { return readVersion(address) == 3 })
+	for _, address := range w.platform.control {
+		waitFor(t, address+" has the new configuration", func() bool { return readVersion(address) == 3 })
 	}
-	w.verdict(t)
+	w.checkResults(t)
 }
 
-// TestVersionsSideBySide guards against versions that do not understand each other:
-// configurations and reports of calls that end their servers pass between the boxes of
-// both. An entry box may follow a control box of its own version, so in two of the
-// cases there is none.
+// TestVersionsSideBySide guards against incompatible versions in one fleet: configurations
+// and reports of calls that crash servers must pass between boxes of both versions. An entry
+// box may prefer a control box of its own version, so in two of the cases there is none.
 func TestVersionsSideBySide(t *testing.T) {
 	for name, earlier := range map[string][]string{
 		"an earlier entry box":                    {"entry-2"},
@@ -95,74 +94,74 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 3, 2)
 			for _, box := range earlier {
-				runFrom(earlierBin(), f.named(t, box))
+				useBinary(earlierBin(), f.boxNamed(t, box))
 			}
-			w := startWorld(t, f, 32, 2, 4)
-			for i, control := range w.site.control {
+			w := startTestbed(t, f, 32, 2, 4)
+			for i, control := range w.platform.control {
 				key := fmt.Sprintf("key-sent-to-control-%d", i+1)
 				w.configureAt(t, control, uint64(2+i), key)
-				w.servesKey(t, key)
+				w.waitKeyServed(t, key)
 			}
-			for i, reporter := range w.of("entry") {
-				w.reportReaches(t, i, reporter, w.of("entry")[1-i])
+			for i, reporter := range w.withRole("entry") {
+				w.checkReportReaches(t, i, reporter, w.withRole("entry")[1-i])
 			}
-			for _, b := range w.of("control") {
-				t.Logf("%s has led: %v", b.name, strings.Contains(b.lines(), `"msg":"leads the control group"`))
+			for _, b := range w.withRole("control") {
+				t.Logf("%s has led: %v", b.name, strings.Contains(b.logText(), `"msg":"leads the control group"`))
 			}
-			w.verdict(t)
+			w.checkResults(t)
 		})
 	}
 }
 
 // configureAt sends a configuration to one control box until it is acknowledged.
-func (w *world) configureAt(t *testing.T, control string, version uint64, keys ...string) {
+func (w *testbed) configureAt(t *testing.T, control string, version uint64, keys ...string) {
 	t.Helper()
-	eventually(t, fmt.Sprintf("version %d is acknowledged by %s", version, control), func() bool {
+	waitFor(t, fmt.Sprintf("version %d is acknowledged by %s", version, control), func() bool {
 		status, _ := put("http://"+control+"/api/configuration", configuration(version, keys...))
 		return status == http.StatusOK
 	})
 }
 
 // callerAt returns a caller of one entry box only.
-func (w *world) callerAt(n int, b *box) *caller {
+func (w *testbed) callerAt(n int, b *box) *caller {
 	c := w.caller(n)
-	c.all = &callers{site: w.site, entries: []string{w.at(b, w.ports.caller)}, names: []string{b.name}, seed: w.all.seed}
+	c.all = &callerPool{platform: w.platform, entries: []string{w.address(b, w.ports.caller)}, names: []string{b.name}, seed: w.all.seed}
 	return c
 }
 
-// servesKey waits until every entry box serves an access key.
-func (w *world) servesKey(t *testing.T, key string) {
+// waitKeyServed waits until every entry box accepts an API key.
+func (w *testbed) waitKeyServed(t *testing.T, key string) {
 	t.Helper()
-	for i, b := range w.of("entry") {
+	for i, b := range w.withRole("entry") {
 		c := w.callerAt(4000+i, b)
-		eventually(t, b.name+" serves "+key, func() bool {
-			w.copies++
-			o := c.ask(fmt.Sprintf("%s-%d", key, w.copies), "plain/safe", key)
-			return o.status == http.StatusOK && o.whole
+		waitFor(t, b.name+" serves "+key, func() bool {
+			w.lastCopy++
+			o := c.send(fmt.Sprintf("%s-%d", key, w.lastCopy), "plain/safe", key)
+			return o.status == http.StatusOK && o.complete
 		})
-		c.drop()
+		c.disconnect()
 	}
 }
 
-// reportReaches lets servers end under a call that only one box sends, and checks that
-// the other holds it back when it comes there for the first time.
-func (w *world) reportReaches(t *testing.T, n int, reporter, other *box) {
+// checkReportReaches sends a call that crashes servers to one entry box only, and checks that
+// the other one refuses it on the first attempt.
+func (w *testbed) checkReportReaches(t *testing.T, n int, reporter, other *box) {
 	t.Helper()
-	body := fmt.Sprint(fatalBody, " at ", reporter.name)
+	body := fmt.Sprint(crashBody, " at ", reporter.name)
 	ask := func(b *box) outcome {
 		c := w.callerAt(5000+n, b)
-		defer c.drop()
-		w.copies++
-		return c.askBody(fmt.Sprintf("side-%d", w.copies), "plain/unsafe", "key-large", body)
+		defer c.disconnect()
+		w.lastCopy++
+		return c.sendBody(fmt.Sprintf("side-%d", w.lastCopy), "plain/unsafe", "key-large", body)
 	}
 	isHeldBack := func(o outcome) bool {
-		return o.status == http.StatusServiceUnavailable && strings.Contains(o.body, heldBack)
+		return o.status == http.StatusServiceUnavailable && strings.Contains(o.body, quarantinedKind)
 	}
-	eventually(t, reporter.name+" holds the call back", func() bool { return isHeldBack(ask(reporter)) })
+	waitFor(t, reporter.name+" quarantines the call", func() bool { return isHeldBack(ask(reporter)) })
 	listed := fmt.Sprintf(`"held_back":%d`, n+1)
-	eventually(t, other.name+" has the list of control", func() bool { return strings.Contains(other.lines(), listed) })
-	ended := w.site.endedUnder(body)
-	if o := ask(other); !isHeldBack(o) || w.site.endedUnder(body) != ended {
-		t.Errorf("%s got status %d for the call that %s had reported, %s; %d servers ended, then %d", other.name, o.status, reporter.name, o.body, ended, w.site.endedUnder(body))
+	waitFor(t, other.name+" has the quarantine list from control", func() bool { return strings.Contains(other.logText(), listed) })
+	crashed := w.platform.crashCount(body)
+	if o := ask(other); !isHeldBack(o) || w.platform.crashCount(body) != crashed {
+		t.Errorf("%s answered with status %d to the call that %s had reported, %s; crashed servers: %d before, %d after", other.name, o.status, reporter.name, o.body, crashed, w.platform.crashCount(body))
 	}
 }
