--- a/tests/integration/golden_test.go
+++ b/tests/integration/golden_test.go
@@ -17,11 +17,11 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// update writes the golden files anew: go test ./tests/integration -update.
+// update rewrites the golden files: go test ./tests/integration -update.
 var update = flag.Bool("update", false, "write golden files")
 
-// golden compares a session with its file.
-func golden(t *testing.T, name, got string) {
+// checkGolden compares a session with its golden file, or rewrites the file with -update.
+func checkGolden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name+".golden")
 	if *update {
@@ -39,10 +39,10 @@
 	}
 }
 
-// changing is what differs from one session to the next, and its stand-in.
-var changing = []struct {
-	pattern *regexp.Regexp
-	with    string
+// replacements lists patterns of output that differs between sessions, with replacements.
+var replacements = []struct {
+	pattern     *regexp.Regexp
+	replacement string
 }{
 	{regexp.MustCompile(`[0-9a-f]{8}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{12}`), "ID"},
 	{regexp.MustCompile(`127\.[0-9.]+:[0-9]+`), "ADDRESS"},
@@ -55,8 +55,8 @@
 }
 
 func normalise(text string) string {
-	for _, c := range changing {
-		text = c.pattern.ReplaceAllString(text, c.with)
+	for _, c := range replacements {
+		text = c.pattern.ReplaceAllString(text, c.replacement)
 	}
 	return text
 }
@@ -74,10 +74,10 @@
 	return string(out)
 }
 
-// TestOperatorsSession compares a whole session of operators with its golden
-// file: good and bad commands, a resent one, a race, queries and exit codes.
+// TestOperatorsSession compares an operator session with its golden file: valid and invalid
+// commands, a repeated one, a conflict between two, queries and exit codes.
 func TestOperatorsSession(t *testing.T) {
-	b := newBench(t, three()[:1], quickEngine, 1000)
+	b := newTestbed(t, threeBoxes()[:1], quickEngine, 1000)
 	var session strings.Builder
 	for _, line := range []string{
 		"command --number 101 create organisation south share 2",
@@ -113,5 +113,5 @@
 		}
 		session.WriteString("\n")
 	}
-	golden(t, "operators", normalise(session.String()))
+	checkGolden(t, "operators", normalise(session.String()))
 }
--- a/tests/integration/main_test.go
+++ b/tests/integration/main_test.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package integration proves whole paths on real processes that are killed,
-// frozen, cut off and stripped of their disks.
+// Package integration tests a fleet of real processes end to end while boxes are killed,
+// paused and partitioned and lose their disks.
 package integration
 
 import (
@@ -33,12 +33,12 @@
 )
 
 const (
-	accessKey = "hw-key-of-an-integration-test"
-	limit     = 40 * time.Second
-	pause     = 20 * time.Millisecond
+	accessKey    = "hw-key-of-an-integration-test"
+	waitLimit    = 40 * time.Second
+	pollInterval = 20 * time.Millisecond
 )
 
-// bin is the folder of the programs, built with the race detector.
+// bin is the directory of the binaries; the daemon is built with the race detector.
 var bin string
 
 func TestMain(m *testing.M) {
@@ -64,42 +64,43 @@
 	return m.Run()
 }
 
-// quick makes elections and deaths show soon.
-var quick = []string{"--election-timeout", "400ms", "--heartbeat", "60ms", "--sync-interval", "50ms", "--box-timeout", "1500ms"}
+// quickFlags shortens elections and the detection of dead boxes.
+var quickFlags = []string{"--election-timeout", "400ms", "--heartbeat", "60ms", "--sync-interval", "50ms", "--box-timeout", "1500ms"}
 
-// three is a fleet of three data centres with all roles on each box.
-func three() []fleet.BoxSpec {
+// threeBoxes returns three boxes with all roles, each in a data centre of its own.
+func threeBoxes() []fleet.BoxSpec {
 	return []fleet.BoxSpec{
-		{Name: "box-a", DataCentre: "dc-a", Roles: "entry,keeper,control", Flags: quick},
-		{Name: "box-b", DataCentre: "dc-b", Roles: "entry,keeper,control", Flags: quick},
-		{Name: "box-c", DataCentre: "dc-c", Roles: "entry,keeper,control", Flags: quick},
+		{Name: "box-a", DataCentre: "dc-a", Roles: "entry,keeper,control", Flags: quickFlags},
+		{Name: "box-b", DataCentre: "dc-b", Roles: "entry,keeper,control", Flags: quickFlags},
+		{Name: "box-c", DataCentre: "dc-c", Roles: "entry,keeper,control", Flags: quickFlags},
 	}
 }
 
 // withEntry adds an entry box without a disk.
 func withEntry(specs []fleet.BoxSpec) []fleet.BoxSpec {
-	return append(specs, fleet.BoxSpec{Name: "entry-a", DataCentre: "dc-a", Roles: "entry", Flags: quick})
+	return append(specs, fleet.BoxSpec{Name: "entry-a", DataCentre: "dc-a", Roles: "entry", Flags: quickFlags})
 }
 
-// bench is a fleet with stand-in engines.
-type bench struct {
+// testbed is a running fleet with simulated engines.
+type testbed struct {
 	t        *testing.T
 	fleet    *fleet.Fleet
 	platform *platform.Platform
 	engines  map[string]*standin.Engine
-	number   uint64
-	// answers are what callers get.
+	// number is the number of the last command.
+	number uint64
+	// answers records what callers receive, for a strict check at the end.
 	answers observe.Recorder
 }
 
 var quickEngine = standin.Options{Slots: 8, PrefillPerSecond: 1_000_000, TokenTime: 2 * time.Millisecond, CacheBlocks: 256}
 
-// newBench starts a fleet with one engine in each data centre, and a group
-// whose budget holds the named tokens.
-func newBench(t *testing.T, specs []fleet.BoxSpec, engine standin.Options, tokens int) *bench {
+// newTestbed starts a fleet with one engine in each data centre, and creates a group whose
+// budget has the given number of tokens.
+func newTestbed(t *testing.T, specs []fleet.BoxSpec, engine standin.Options, tokens int) *testbed {
 	t.Helper()
 	t.Parallel()
-	b := &bench{t: t, platform: platform.New(1), engines: map[string]*standin.Engine{}}
+	b := &testbed{t: t, platform: platform.New(1), engines: map[string]*standin.Engine{}}
 	for _, spec := range specs {
 		if b.engines[spec.DataCentre] == nil {
 			b.addEngine("engine-"+spec.DataCentre, spec.DataCentre, engine)
@@ -125,24 +126,24 @@
 	if err := f.AwaitReady(); err != nil {
 		t.Fatal(err)
 	}
-	b.inForce(f.Names()...)
+	b.waitConfigured(f.Names()...)
 	return b
 }
 
-// inForce waits until the newest revision is in force on boxes.
-func (b *bench) inForce(boxes ...string) {
+// waitConfigured waits until the boxes use the latest revision of the configuration.
+func (b *testbed) waitConfigured(boxes ...string) {
 	b.t.Helper()
 	revision, err := strconv.ParseUint(b.query("show revision")[0]["revision"], 10, 64)
-	b.ok(err)
+	b.noError(err)
 	for _, name := range boxes {
-		b.eventually("the configuration is in force at "+name, func() bool {
+		b.waitFor("the configuration is applied at "+name, func() bool {
 			s, err := b.status(name)
 			return err == nil && s.Revision >= revision
 		})
 	}
 }
 
-func (b *bench) reportRaces() {
+func (b *testbed) reportRaces() {
 	for _, name := range b.fleet.Names() {
 		if log := b.fleet.Boxes[name].Log(); strings.Contains(log, "DATA RACE") || strings.Contains(log, "panic:") {
 			b.t.Errorf("box %s:\n%s", name, log)
@@ -150,13 +151,13 @@
 	}
 }
 
-func (b *bench) addEngine(name, dc string, o standin.Options) {
+func (b *testbed) addEngine(name, dc string, o standin.Options) {
 	e := standin.New(o)
 	b.engines[dc] = e
 	b.platform.Put(platform.Target{Name: name, Address: b.serve(e.Handler()), Kind: "engine", Models: []string{"m1"}, DataCentre: dc, State: "live"})
 }
 
-func (b *bench) serve(h http.Handler) string {
+func (b *testbed) serve(h http.Handler) string {
 	server := httptest.NewUnstartedServer(h)
 	server.Config.ErrorLog = slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)
 	server.Start()
@@ -167,7 +168,7 @@
 	return server.Listener.Addr().String()
 }
 
-func (b *bench) setup(tokens int) {
+func (b *testbed) setup(tokens int) {
 	b.t.Helper()
 	b.command("create organisation north share 1")
 	b.command(fmt.Sprintf("create budget north/main tokens %d", tokens))
@@ -175,17 +176,17 @@
 	b.command("add key " + digest.Of([]byte(accessKey)) + " to north/a")
 }
 
-// command sends a command with the next number until its outcome is known.
-func (b *bench) command(text string) structs.CommandResult {
+// command sends a command with the next number and retries it until the result is known.
+func (b *testbed) command(text string) structs.CommandResult {
 	b.t.Helper()
 	b.number++
 	return b.commandAs(b.number, text)
 }
 
-func (b *bench) commandAs(number uint64, text string) structs.CommandResult {
+func (b *testbed) commandAs(number uint64, text string) structs.CommandResult {
 	b.t.Helper()
 	var result structs.CommandResult
-	deadline := time.Now().Add(limit)
+	deadline := time.Now().Add(waitLimit)
 	for {
 		out, err := b.fleet.Tool(context.Background(), "--output", "json", "command", "--number", strconv.FormatUint(number, 10), text)
 		if json.Unmarshal([]byte(out), &result) == nil && err == nil {
@@ -194,15 +195,15 @@
 		if time.Now().After(deadline) {
 			b.t.Fatalf("%s: %v\n%s", text, err, out)
 		}
-		time.Sleep(pause)
+		time.Sleep(pollInterval)
 	}
 }
 
-// query returns the rows of a query, by column.
-func (b *bench) query(text string) []map[string]string {
+// query returns the rows of a query as maps from column to value.
+func (b *testbed) query(text string) []map[string]string {
 	b.t.Helper()
 	var result structs.QueryResult
-	deadline := time.Now().Add(limit)
+	deadline := time.Now().Add(waitLimit)
 	for {
 		out, err := b.fleet.Tool(context.Background(), "--output", "json", "query", text)
 		if err == nil && json.Unmarshal([]byte(out), &result) == nil {
@@ -211,7 +212,7 @@
 		if time.Now().After(deadline) {
 			b.t.Fatalf("%s: %v\n%s", text, err, out)
 		}
-		time.Sleep(pause)
+		time.Sleep(pollInterval)
 	}
 	var rows []map[string]string
 	for _, cells := range result.Rows {
@@ -224,41 +225,41 @@
 	return rows
 }
 
-func (b *bench) eventually(what string, met func() bool) {
+func (b *testbed) waitFor(what string, met func() bool) {
 	b.t.Helper()
-	deadline := time.Now().Add(limit)
+	deadline := time.Now().Add(waitLimit)
 	for !met() {
 		if time.Now().After(deadline) {
 			for _, name := range b.fleet.Names() {
 				b.t.Logf("%s:\n%s", name, b.fleet.Boxes[name].Log())
 			}
-			b.t.Fatalf("not met: %s", what)
+			b.t.Fatalf("timed out waiting until %s", what)
 		}
-		time.Sleep(pause)
+		time.Sleep(pollInterval)
 	}
 }
 
-// reply is a caller's view of an answer.
+// reply is an answer as the caller receives it.
 type reply struct {
-	status int
-	text   string
-	billed int
-	whole  bool
-	err    structs.Error
+	status   int
+	text     string
+	billed   int
+	complete bool
+	err      structs.Error
 }
 
-// send sends a streamed request to a box. first is called after the first
-// event, if it is set.
-func (b *bench) send(box string, prompt string, tokens int, first func(), headers ...string) (reply, error) {
-	return b.sendFor(limit, box, prompt, tokens, first, headers)
+// send sends a streaming request to a box. If first is not nil, it is called after the
+// first event.
+func (b *testbed) send(box string, prompt string, tokens int, first func(), headers ...string) (reply, error) {
+	return b.sendFor(waitLimit, box, prompt, tokens, first, headers)
 }
 
-// sendWithin sends a request and waits for its answer for a while only.
-func (b *bench) sendWithin(patience time.Duration, box, prompt string, tokens int, headers ...string) (reply, error) {
-	return b.sendFor(patience, box, prompt, tokens, nil, headers)
+// sendWithin is like send with a timeout for the whole answer.
+func (b *testbed) sendWithin(timeout time.Duration, box, prompt string, tokens int, headers ...string) (reply, error) {
+	return b.sendFor(timeout, box, prompt, tokens, nil, headers)
 }
 
-func (b *bench) sendFor(patience time.Duration, box, prompt string, tokens int, first func(), headers []string) (reply, error) {
+func (b *testbed) sendFor(timeout time.Duration, box, prompt string, tokens int, first func(), headers []string) (reply, error) {
 	body := fmt.Sprintf(`{"model":"m1","messages":[{"role":"user","content":%q}],"max_tokens":%d,"stream":true}`, prompt, tokens)
 	req, err := http.NewRequest("POST", "http://"+b.fleet.Boxes[box].Caller+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
@@ -269,16 +270,16 @@
 		name, value, _ := strings.Cut(h, ": ")
 		req.Header.Set(name, value)
 	}
-	client := &http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true, DialContext: b.answers.DialContext}}
+	client := &http.Client{Timeout: timeout, Transport: &http.Transport{DisableKeepAlives: true, DialContext: b.answers.DialContext}}
 	resp, err := client.Do(req)
 	if err != nil {
 		return reply{}, err
 	}
 	defer resp.Body.Close()
-	return read(resp, first)
+	return readReply(resp, first)
 }
 
-func read(resp *http.Response, first func()) (reply, error) {
+func readReply(resp *http.Response, first func()) (reply, error) {
 	r := reply{status: resp.StatusCode}
 	lines := bufio.NewReader(resp.Body)
 	for {
@@ -287,14 +288,14 @@
 			if !ok {
 				data = line
 			}
-			r.take(data)
+			r.addEvent(data)
 			if first != nil && r.text != "" {
 				first()
 				first = nil
 			}
 		}
-		if err == io.EOF && r.status == http.StatusOK && r.text != "" && !r.whole {
-			return r, errors.New("a part of an answer ended its body well")
+		if err == io.EOF && r.status == http.StatusOK && r.text != "" && !r.complete {
+			return r, errors.New("the body of an incomplete answer ended without an error")
 		}
 		if err == io.EOF {
 			return r, nil
@@ -305,9 +306,9 @@
 	}
 }
 
-func (r *reply) take(data string) {
+func (r *reply) addEvent(data string) {
 	if data == "[DONE]" {
-		r.whole = true
+		r.complete = true
 		return
 	}
 	var e struct {
@@ -333,31 +334,32 @@
 	r.err = e.Error
 }
 
-func (b *bench) mustSend(box, prompt string, tokens int, headers ...string) reply {
+func (b *testbed) mustSend(box, prompt string, tokens int, headers ...string) reply {
 	b.t.Helper()
 	r, err := b.send(box, prompt, tokens, nil, headers...)
-	if err != nil || r.status != 200 || !r.whole {
+	if err != nil || r.status != 200 || !r.complete {
 		b.t.Fatalf("box %s: %+v %v\n%s", box, r, err, b.fleet.Boxes[box].Log())
 	}
 	return r
 }
 
-// words counts the words of a whole answer, and checks that they are in order.
-func words(t *testing.T, text string) int {
+// countWords counts the words of a complete answer and checks their order.
+func countWords(t *testing.T, text string) int {
 	t.Helper()
 	number := regexp.MustCompile(`^w(\d+)-`)
 	list := strings.Fields(text)
 	for i, w := range list {
 		m := number.FindStringSubmatch(w)
 		if m == nil || m[1] != strconv.Itoa(i+1) {
-			t.Errorf("word %d of the answer is %q", i+1, w)
+			t.Errorf("word %d of the answer is out of order: %q", i+1, w)
 		}
 	}
 	return len(list)
 }
 
-// served returns how often all engines began a run, and the tokens they made.
-func (b *bench) served() (runs int, tokens uint64) {
+// engineTotals returns how many runs the engines have started and how many tokens they have
+// generated.
+func (b *testbed) engineTotals() (runs int, tokens uint64) {
 	for _, e := range b.engines {
 		_, n, made := e.Counts()
 		runs += n
@@ -366,19 +368,19 @@
 	return runs, tokens
 }
 
-// leader returns the control box that leads.
-func (b *bench) leader() string {
+// leader waits until there is a leader and returns its name.
+func (b *testbed) leader() string {
 	b.t.Helper()
 	name := ""
-	b.eventually("a control box leads", func() bool {
+	b.waitFor("there is a leader", func() bool {
 		name = b.findLeader("")
 		return name != ""
 	})
 	return name
 }
 
-// findLeader returns a leading box other than one, empty when there is none.
-func (b *bench) findLeader(not string) string {
+// findLeader returns the name of a leader other than the given box, or "".
+func (b *testbed) findLeader(not string) string {
 	for _, name := range b.fleet.Names() {
 		if name == not {
 			continue
@@ -390,7 +392,7 @@
 	return ""
 }
 
-func (b *bench) status(name string) (structs.BoxStatus, error) {
+func (b *testbed) status(name string) (structs.BoxStatus, error) {
 	var s structs.BoxStatus
 	req, err := http.NewRequest("GET", "http://"+b.fleet.Boxes[name].Admin+"/admin/v1/status", nil)
 	if err != nil {
@@ -406,7 +408,7 @@
 	return s, json.NewDecoder(resp.Body).Decode(&s)
 }
 
-func (b *bench) ok(err error) {
+func (b *testbed) noError(err error) {
 	b.t.Helper()
 	if err != nil {
 		b.t.Fatal(err)
