--- a/tests/certs/certs.go
+++ b/tests/certs/certs.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package certs makes certificates for tests on loopback.
+// Package certs creates TLS certificates for tests on loopback.
 package certs
 
 import (
@@ -19,15 +19,16 @@
 	"time"
 )
 
-// Files are the paths of a certificate, its key and its authority.
+// Files has the paths of the PEM files with a certificate, its private key and the
+// certificate of its authority.
 type Files struct {
 	Cert      string
 	Key       string
 	Authority string
 }
 
-// New makes an authority and a certificate for 127.0.0.0/8, which is its own.
-// More addresses can be named.
+// New creates a self-signed certificate for 127.0.0.1 and the given IP addresses, valid for
+// servers and clients for one hour. The certificate is its own authority.
 func New(t testing.TB, addresses ...string) Files {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -51,12 +52,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	folder := t.TempDir()
-	path := write(t, filepath.Join(folder, "cert"), "CERTIFICATE", cert)
-	return Files{Cert: path, Key: write(t, filepath.Join(folder, "key"), "EC PRIVATE KEY", der), Authority: path}
+	dir := t.TempDir()
+	path := writePEM(t, filepath.Join(dir, "cert"), "CERTIFICATE", cert)
+	return Files{Cert: path, Key: writePEM(t, filepath.Join(dir, "key"), "EC PRIVATE KEY", der), Authority: path}
 }
 
-func write(t testing.TB, path, kind string, data []byte) string {
+func writePEM(t testing.TB, path, kind string, data []byte) string {
 	t.Helper()
 	if err := os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: data}), 0o600); err != nil {
 		t.Fatal(err)
--- a/tests/fleet/fleet.go
+++ b/tests/fleet/fleet.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package fleet starts a small fleet as separate processes on loopback, for
-// whole-path tests and for the tour of make run.
+// Package fleet runs a small fleet of boxes as separate processes on loopback, for
+// end-to-end tests and for the tour of make run.
 package fleet
 
 import (
@@ -26,46 +26,49 @@
 	"havenwinch.dev/havenwinch/modules/digest"
 )
 
-// OperatorKey is the key of the operator that every fleet has.
+// OperatorKey is the key of an operator that exists in every fleet.
 const OperatorKey = "operator-key-of-a-test-fleet"
 
 const (
-	startLimit  = 30 * time.Second
-	pollPause   = 20 * time.Millisecond
-	secretText  = "a secret for fleets on loopback only\n"
-	filePrivate = 0o600
+	startLimit   = 30 * time.Second
+	pollInterval = 20 * time.Millisecond
+	secretText   = "a secret for fleets on loopback only\n"
+	privateMode  = 0o600
 )
 
-// BoxSpec describes one box.
+// BoxSpec is the configuration of a box.
 type BoxSpec struct {
 	Name       string
 	DataCentre string
 	Roles      string
-	// Flags are added to the command line.
+	// Flags are appended to the command line.
 	Flags []string
-	// Bin is the folder of the box's daemon; empty means that of the fleet.
+	// Bin is the directory of the daemon that the box runs; empty means Fleet.Bin.
 	Bin string
 }
 
-// Box is one box of a fleet, and its process while it runs.
+// Box is a box of a fleet with its process, which may be running or not.
 type Box struct {
 	Spec    BoxSpec
 	Caller  string
 	Admin   string
 	Between string
-	// IP is the box's own address on loopback; Via is its relay.
+	// IP is the loopback address of the box; Via is the address of the relay through
+	// which other boxes connect to Between.
 	IP     string
 	Via    string
 	Folder string
 
-	mu   sync.Mutex
-	cmd  *exec.Cmd
+	mu sync.Mutex
+	// cmd is the process started last; nil before the first start.
+	cmd *exec.Cmd
+	// done is closed when cmd has exited; err is its exit error from then on.
 	done chan struct{}
 	err  error
 	log  bytes.Buffer
 }
 
-// Fleet is a set of boxes that know each other.
+// Fleet is a set of boxes that are configured to form one system.
 type Fleet struct {
 	Bin      string
 	Folder   string
@@ -75,19 +78,19 @@
 	order    []string
 }
 
-// New lays a fleet out in a folder; nothing runs yet.
+// New prepares a fleet in an existing directory and starts its relays, but no box.
 func New(bin, folder, platform string, specs []BoxSpec) (*Fleet, error) {
 	f := &Fleet{Bin: bin, Folder: folder, Platform: platform, Boxes: map[string]*Box{}, Network: NewNetwork()}
-	if err := os.WriteFile(f.secretFile(), []byte(secretText), filePrivate); err != nil {
+	if err := os.WriteFile(f.secretFile(), []byte(secretText), privateMode); err != nil {
 		return nil, errors.WithStack(err)
 	}
 	operators := "tester " + digest.Of([]byte(OperatorKey)) + "\nsecond " + digest.Of([]byte(OperatorKey+"-2")) + "\n"
-	if err := os.WriteFile(f.operatorsFile(), []byte(operators), filePrivate); err != nil {
+	if err := os.WriteFile(f.operatorsFile(), []byte(operators), privateMode); err != nil {
 		return nil, errors.WithStack(err)
 	}
-	fleetNumber := fleets.Add(1)
+	fleetNumber := fleetCount.Add(1)
 	for i, spec := range specs {
-		ip := address(int(fleetNumber%nets), i)
+		ip := boxAddress(int(fleetNumber%subnetCount), i)
 		if err := f.add(spec, ip); err != nil {
 			return nil, err
 		}
@@ -95,35 +98,35 @@
 	return f, nil
 }
 
-// Each fleet has addresses of its own on the loopback net, told apart by the
-// process and a count, so that fleets that run at once don't meet.
+// Each fleet has its own loopback subnet, derived from the process id and a counter, so
+// that fleets running concurrently do not collide.
 const (
-	firstNet = 10
-	nets     = 200
-	firstIP  = 11
+	firstSubnet = 10
+	subnetCount = 200
+	firstIP     = 11
 )
 
-var fleets atomic.Int64
+var fleetCount atomic.Int64
 
-func address(fleetNumber, box int) string {
-	return fmt.Sprintf("127.%d.%d.%d", firstNet+os.Getpid()%nets, fleetNumber, firstIP+box)
+func boxAddress(fleetNumber, box int) string {
+	return fmt.Sprintf("127.%d.%d.%d", firstSubnet+os.Getpid()%subnetCount, fleetNumber, firstIP+box)
 }
 
-// Addresses returns those that the first boxes of any fleet of this process
-// can have, for certificates.
+// Addresses returns all IP addresses that the first boxes of a fleet in this process may
+// get, for use in certificates.
 func Addresses(boxes int) []string {
 	var list []string
-	for n := range nets {
+	for n := range subnetCount {
 		for i := range boxes {
-			list = append(list, address(n, i))
+			list = append(list, boxAddress(n, i))
 		}
 	}
 	return list
 }
 
 func (f *Fleet) add(spec BoxSpec, ip string) error {
-	// The relay listens before free ports are looked for, since it would be
-	// given one of those that were found and closed again.
+	// The relay has to listen before free ports are determined, since otherwise the kernel
+	// could assign it one of the ports that were found and closed again.
 	relay, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
 	if err != nil {
 		return errors.WithStack(err)
@@ -140,8 +143,8 @@
 	return nil
 }
 
-// freeAddresses asks the kernel for ports that are free now. All are open at
-// once, so that they differ.
+// freeAddresses returns n addresses with free ports assigned by the kernel. The ports are
+// held open together, so that they differ.
 func freeAddresses(ip string, n int) ([]string, error) {
 	var addresses []string
 	for range n {
@@ -168,7 +171,7 @@
 	return strings.Join(list, ",")
 }
 
-// Admins returns the admin addresses of all boxes, parted by commas.
+// Admins returns the admin addresses of all boxes, separated by commas.
 func (f *Fleet) Admins() string {
 	var list []string
 	for _, name := range f.order {
@@ -177,7 +180,7 @@
 	return strings.Join(list, ",")
 }
 
-// Args returns the command line of a box.
+// Args returns the command-line arguments for the daemon of a box.
 func (f *Fleet) Args(b *Box) []string {
 	args := []string{
 		"--box", b.Spec.Name, "--data-centre", b.Spec.DataCentre, "--roles", b.Spec.Roles,
@@ -191,7 +194,8 @@
 	return append(args, b.Spec.Flags...)
 }
 
-// Start starts one box.
+// Start starts the process of a box, which must not be running. It does not wait until
+// the box is ready.
 func (f *Fleet) Start(name string) error {
 	b := f.Boxes[name]
 	b.mu.Lock()
@@ -217,7 +221,7 @@
 	return nil
 }
 
-// lockedWriter gathers a box's log.
+// lockedWriter appends to the log of a box.
 type lockedWriter struct{ b *Box }
 
 func (w *lockedWriter) Write(p []byte) (int, error) {
@@ -226,14 +230,14 @@
 	return w.b.log.Write(p)
 }
 
-// Log returns what a box has logged.
+// Log returns everything that the box has logged, over all starts.
 func (b *Box) Log() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.log.String()
 }
 
-// StartAll starts all boxes and waits until they are alive.
+// StartAll starts all boxes and waits until /healthz answers on each.
 func (f *Fleet) StartAll() error {
 	for _, name := range f.order {
 		if err := f.Start(name); err != nil {
@@ -248,7 +252,7 @@
 	return nil
 }
 
-// AwaitReady waits until every box is ready for callers.
+// AwaitReady waits until /readyz answers with 200 on every box.
 func (f *Fleet) AwaitReady() error {
 	for _, name := range f.order {
 		if err := f.Await(name, "/readyz"); err != nil {
@@ -258,7 +262,8 @@
 	return nil
 }
 
-// Await waits until a path of a box's admin listener answers with 200.
+// Await waits until the admin listener of a box answers a path with 200. It fails if the
+// process exits or after startLimit.
 func (f *Fleet) Await(name, path string) error {
 	b := f.Boxes[name]
 	deadline := time.Now().Add(startLimit)
@@ -273,11 +278,11 @@
 		}
 		select {
 		case <-b.exited():
-			return errors.Errorf("box %s has ended:\n%s", name, b.Log())
-		case <-time.After(pollPause):
+			return errors.Errorf("box %s has exited:\n%s", name, b.Log())
+		case <-time.After(pollInterval):
 		}
 	}
-	return errors.Errorf("box %s did not answer %s in time:\n%s", name, path, b.Log())
+	return errors.Errorf("timed out waiting for box %s to answer %s with 200:\n%s", name, path, b.Log())
 }
 
 func (b *Box) exited() chan struct{} {
@@ -286,7 +291,8 @@
 	return b.done
 }
 
-// Signal sends a signal to a box's process.
+// Signal sends a signal to the process of a box. It does nothing if the box was never
+// started.
 func (f *Fleet) Signal(name string, s syscall.Signal) error {
 	b := f.Boxes[name]
 	b.mu.Lock()
@@ -297,7 +303,7 @@
 	return errors.WithStack(b.cmd.Process.Signal(s))
 }
 
-// Pid returns a box's process number.
+// Pid returns the process id of a box, which must have been started.
 func (f *Fleet) Pid(name string) int {
 	b := f.Boxes[name]
 	b.mu.Lock()
@@ -305,7 +311,7 @@
 	return b.cmd.Process.Pid
 }
 
-// Kill ends a box at once.
+// Kill sends SIGKILL to a box and waits for its process to exit.
 func (f *Fleet) Kill(name string) error {
 	if err := f.Signal(name, syscall.SIGKILL); err != nil {
 		return err
@@ -314,7 +320,7 @@
 	return nil
 }
 
-// Stop ends a box as planned and returns the error of its exit.
+// Stop shuts a box down gracefully with SIGTERM and returns the exit error of its process.
 func (f *Fleet) Stop(name string) error {
 	if err := f.Signal(name, syscall.SIGTERM); err != nil {
 		return err
@@ -322,7 +328,7 @@
 	return f.Exit(name)
 }
 
-// Exit waits for a box's process and returns the error of its exit.
+// Exit waits for the process of a box to exit and returns its exit error.
 func (f *Fleet) Exit(name string) error {
 	b := f.Boxes[name]
 	<-b.exited()
@@ -331,7 +337,7 @@
 	return errors.WithStack(b.err)
 }
 
-// Close kills whatever still runs.
+// Close kills all processes that are still running, paused ones too.
 func (f *Fleet) Close() {
 	for _, name := range f.order {
 		b := f.Boxes[name]
@@ -343,8 +349,8 @@
 	}
 }
 
-// Tool runs the command-line tool against the fleet and returns what it
-// printed.
+// Tool runs the havenwinch command-line tool against the fleet and returns its combined
+// output.
 func (f *Fleet) Tool(ctx context.Context, args ...string) (string, error) {
 	cmd := exec.CommandContext(ctx, filepath.Join(f.Bin, "havenwinch"), args...)
 	cmd.Env = []string{
@@ -356,7 +362,7 @@
 	return string(out), err
 }
 
-// FirstEntry returns the first box with the role entry.
+// FirstEntry returns the name of the first box with the role entry, or "".
 func (f *Fleet) FirstEntry() string {
 	for _, name := range f.order {
 		if strings.Contains(f.Boxes[name].Spec.Roles, "entry") {
@@ -366,10 +372,10 @@
 	return ""
 }
 
-// Names returns the boxes' names in their order.
+// Names returns the names of the boxes in the order of their specs.
 func (f *Fleet) Names() []string { return append([]string(nil), f.order...) }
 
-// String describes where the fleet listens.
+// String lists the boxes with their roles and listen addresses, one per line.
 func (f *Fleet) String() string {
 	var b strings.Builder
 	for _, name := range f.order {
--- a/tests/fleet/relay.go
+++ b/tests/fleet/relay.go
@@ -10,16 +10,16 @@
 	"time"
 )
 
-// Link is what a relay does with the bytes from one box to another.
+// Link has the faults of the connections from one box to another.
 type Link struct {
-	// Cut swallows everything, as a network does that drops packets.
+	// Cut drops all bytes silently, like a network that loses packets.
 	Cut bool
 	// Delay is added to every read.
 	Delay time.Duration
 }
 
-// Network relays the traffic between boxes and can cut it. Boxes are told
-// apart by the address they dial from.
+// Network relays the traffic between boxes and can delay or drop it. It identifies boxes
+// by their source addresses.
 type Network struct {
 	mu    sync.Mutex
 	links map[[2]string]Link
@@ -32,7 +32,8 @@
 	return &Network{links: map[[2]string]Link{}, conns: map[net.Conn][2]string{}, bytes: map[[2]string]int64{}}
 }
 
-// Set changes the link from one address to another, for open connections too.
+// Set sets the faults of the link between two addresses, for open connections too. Unless
+// the link is cut, open connections are closed.
 func (n *Network) Set(from, to string, l Link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -40,7 +41,7 @@
 	if l.Cut {
 		return
 	}
-	// A connection that has swallowed bytes can't go on: its ends are told.
+	// A connection that has lost bytes cannot continue, so both ends have to see it close.
 	for conn, ends := range n.conns {
 		if ends == [2]string{from, to} {
 			_ = conn.Close()
@@ -48,7 +49,8 @@
 	}
 }
 
-// Bytes returns what has passed on all links that touch an address.
+// Bytes returns the number of bytes received on all links from or to an address, including
+// dropped ones. Links of an address to itself do not count.
 func (n *Network) Bytes(address string) int64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -67,18 +69,19 @@
 	return n.links[ends]
 }
 
-// Serve passes connections for a box on to its real address.
+// Serve accepts connections to the box with address to and relays them to its listener at
+// target. It returns when l is closed.
 func (n *Network) Serve(l net.Listener, to, target string) {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
 			return
 		}
-		go n.carry(conn, to, target)
+		go n.relay(conn, to, target)
 	}
 }
 
-func (n *Network) carry(conn net.Conn, to, target string) {
+func (n *Network) relay(conn net.Conn, to, target string) {
 	defer conn.Close()
 	from := conn.RemoteAddr().(*net.TCPAddr).IP.String()
 	ends := [2]string{from, to}
@@ -98,25 +101,25 @@
 	defer far.Close()
 	go func() {
 		defer conn.Close()
-		n.pass(conn, far, ends)
+		n.forward(conn, far, ends)
 	}()
-	n.pass(far, conn, ends)
+	n.forward(far, conn, ends)
 }
 
-func (n *Network) count(ends [2]string, size int) {
+func (n *Network) countBytes(ends [2]string, size int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.bytes[ends] += int64(size)
 }
 
-// pass copies bytes; what arrives while the link is cut is swallowed, in both
-// directions of a connection that the cut box has opened.
-func (n *Network) pass(w io.Writer, r io.Reader, ends [2]string) {
+// forward copies bytes in one direction. While the link is cut, bytes are dropped, in both
+// directions of the connections that were opened over it.
+func (n *Network) forward(w io.Writer, r io.Reader, ends [2]string) {
 	buffer := make([]byte, 32<<10)
 	for {
 		size, err := r.Read(buffer)
 		l := n.link(ends)
-		n.count(ends, size)
+		n.countBytes(ends, size)
 		if l.Delay > 0 {
 			time.Sleep(l.Delay)
 		}
@@ -131,7 +134,7 @@
 	}
 }
 
-// Isolate cuts or heals one box from a set of others, both ways.
+// Isolate cuts or restores the links between a box and all others, in both directions.
 func (f *Fleet) Isolate(name string, cut bool) {
 	for _, other := range f.order {
 		if other != name {
@@ -141,7 +144,8 @@
 	}
 }
 
-// Cut cuts or heals the connections that one box opens to another.
+// Cut cuts or restores the link for connections that one box opens to another. It also
+// resets the delay of the link.
 func (f *Fleet) Cut(from, to string, cut bool) {
 	f.Network.Set(f.Boxes[from].IP, f.Boxes[to].IP, Link{Cut: cut})
 }
--- a/tests/observe/observe.go
+++ b/tests/observe/observe.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package observe reads what a caller gets over a connection as a strict reader of
-// HTTP/1.1 (RFC 9112) does. A lenient reader passes over what another one takes for
-// the head of the next answer, and so looks away from just the faults that matter.
+// Package observe parses what a caller receives on a connection strictly according to
+// HTTP/1.1 (RFC 9112). A lenient parser ignores bytes that another one takes for the head
+// of the next answer, and thus hides request desynchronisation.
 package observe
 
 import (
@@ -18,29 +18,29 @@
 )
 
 const (
-	// mostLine bounds a line, mostBody the body of an answer, in bytes.
-	mostLine = 16 << 10
-	mostBody = 16 << 20
-	// dumpBytes is how many of the last bytes are shown when they can't be read.
+	// maxLine limits a line and maxBody the body of an answer, in bytes.
+	maxLine = 16 << 10
+	maxBody = 16 << 20
+	// dumpBytes is how many of the last bytes a parse error includes.
 	dumpBytes = 512
 )
 
-// Field is one field of a head.
+// Field is a header field.
 type Field struct {
 	Name  string
 	Value string
 }
 
-// Answer is one answer, or what has come of it.
+// Answer is a response. After an error it has the part that was received.
 type Answer struct {
 	Status int
 	Fields []Field
 	Body   []byte
-	// Chunked says that the body came in chunks.
+	// Chunked is true if the body used the chunked transfer coding.
 	Chunked bool
 }
 
-// Get returns the first value of a field, empty when there is none.
+// Get returns the first value of a field, or "".
 func (a *Answer) Get(name string) string {
 	for _, f := range a.Fields {
 		if strings.EqualFold(f.Name, name) {
@@ -50,7 +50,7 @@
 	return ""
 }
 
-// count returns how often a field stands in the head.
+// count returns the number of fields with the name.
 func (a *Answer) count(name string) int {
 	n := 0
 	for _, f := range a.Fields {
@@ -61,35 +61,37 @@
 	return n
 }
 
-// Closes says that the connection ends after this answer.
+// Closes reports whether the answer has "Connection: close".
 func (a *Answer) Closes() bool { return strings.EqualFold(a.Get("Connection"), "close") }
 
-// ErrUnreadable says that bytes came that are no answer. It is never allowed.
+// ErrUnreadable means that bytes were received that are not a valid answer, which is always
+// a fault.
 type ErrUnreadable struct {
 	What string
-	// At is the number of the byte on the connection.
+	// At is the number of bytes of the connection read so far.
 	At int64
-	// Before are the answers that came before, Dump the last bytes.
+	// Before has the statuses of the preceding answers.
 	Before []string
-	Dump   string
+	// Dump is a hex dump of the last bytes.
+	Dump string
 }
 
 func (e ErrUnreadable) Error() string {
-	return fmt.Sprintf("bytes that are no answer, up to byte %d of the connection: %s; before: %s\n%s", e.At, e.What, strings.Join(e.Before, ", "), e.Dump)
+	return fmt.Sprintf("malformed answer before byte %d of the connection: %s; preceding statuses: %s\n%s", e.At, e.What, strings.Join(e.Before, ", "), e.Dump)
 }
 
-// IsErrUnreadable tells whether an error is that bytes came that are no answer.
+// IsErrUnreadable reports whether err is or wraps an ErrUnreadable.
 func IsErrUnreadable(err error) bool {
 	var e ErrUnreadable
 	return errors.As(err, &e)
 }
 
-// ErrCut says that the connection ended before the answer was whole.
+// ErrCut means that the connection ended before the answer was complete.
 type ErrCut struct{ Cause error }
 
-func (e ErrCut) Error() string { return "the connection ended within an answer: " + e.Cause.Error() }
+func (e ErrCut) Error() string { return "the connection ended during an answer: " + e.Cause.Error() }
 
-// IsErrCut tells whether an error is that an answer was cut off.
+// IsErrCut reports whether err is or wraps an ErrCut.
 func IsErrCut(err error) bool {
 	var e ErrCut
 	return errors.As(err, &e)
@@ -97,20 +99,23 @@
 
 // Reader reads the answers of one connection. It is not safe for concurrent use.
 type Reader struct {
-	r      *bufio.Reader
+	r *bufio.Reader
+	// at is the number of bytes read; recent has at least the last dumpBytes of them.
 	at     int64
 	recent []byte
+	// before has the statuses of the answers read.
 	before []string
 }
 
-// NewReader returns a reader of the bytes that a caller gets.
+// NewReader returns a Reader for the bytes that a caller receives.
 func NewReader(r io.Reader) *Reader { return &Reader{r: bufio.NewReader(r)} }
 
-// Answer reads the answer to a request of a method. It returns what has come of the
-// answer also with an ErrCut; io.EOF says that the connection ended between answers.
+// Answer reads the answer to a request with the given method and skips preceding answers
+// with status 100. With an ErrCut it returns the part that was received. The error is
+// io.EOF if the connection ended between answers.
 func (o *Reader) Answer(method string) (*Answer, error) {
 	for {
-		a, err := o.one(method)
+		a, err := o.readOne(method)
 		if err != nil {
 			return a, err
 		}
@@ -121,75 +126,75 @@
 	}
 }
 
-// Rest returns an error when more comes on the connection than the answers that
-// were read: nil once it has ended.
+// Rest waits for the end of the connection and returns an error if further bytes are
+// received before it.
 func (o *Reader) Rest() error {
-	b, err := o.byte()
+	b, err := o.readByte()
 	if err == nil {
-		return o.unreadable(fmt.Sprintf("%q after the last answer", b))
+		return o.malformed(fmt.Sprintf("%q after the last answer", b))
 	}
 	return nil
 }
 
-func (o *Reader) one(method string) (*Answer, error) {
+func (o *Reader) readOne(method string) (*Answer, error) {
 	a := &Answer{}
-	line, err := o.line()
+	line, err := o.readLine()
 	if err == io.EOF && line == "" {
 		return a, io.EOF
 	}
 	if err != nil {
-		return a, o.ended(err)
+		return a, o.truncated(err)
 	}
-	if err := o.statusLine(a, line); err != nil {
+	if err := o.parseStatusLine(a, line); err != nil {
 		return a, err
 	}
-	if err := o.fields(a); err != nil {
+	if err := o.readFields(a); err != nil {
 		return a, err
 	}
-	return a, o.body(a, method)
+	return a, o.readBody(a, method)
 }
 
-// statusLine reads HTTP/1.1 SP three digits SP reason.
-func (o *Reader) statusLine(a *Answer, line string) error {
+// parseStatusLine parses "HTTP/1.1", a space, three digits, a space and the reason phrase.
+func (o *Reader) parseStatusLine(a *Answer, line string) error {
 	version, rest, _ := strings.Cut(line, " ")
 	digits, _, found := strings.Cut(rest, " ")
 	if version != "HTTP/1.1" || !found || len(digits) != 3 {
-		return o.unreadable(fmt.Sprintf("%q is no status line", line))
+		return o.malformed(fmt.Sprintf("%q is not a status line", line))
 	}
 	for _, d := range []byte(digits) {
 		if d < '0' || d > '9' {
-			return o.unreadable(fmt.Sprintf("%q is no status", digits))
+			return o.malformed(fmt.Sprintf("%q is not a status code", digits))
 		}
 		a.Status = a.Status*10 + int(d-'0')
 	}
 	if a.Status < 100 || a.Status > 599 || a.Status < 200 && a.Status != http.StatusContinue {
-		return o.unreadable(fmt.Sprintf("status %d", a.Status))
+		return o.malformed(fmt.Sprintf("unexpected status %d", a.Status))
 	}
 	return nil
 }
 
-func (o *Reader) fields(a *Answer) error {
+func (o *Reader) readFields(a *Answer) error {
 	for {
-		line, err := o.line()
+		line, err := o.readLine()
 		if err != nil {
-			return o.ended(err)
+			return o.truncated(err)
 		}
 		if line == "" {
 			return nil
 		}
 		name, value, found := strings.Cut(line, ":")
 		if !found || !isToken(name) {
-			return o.unreadable(fmt.Sprintf("%q is no field", line))
+			return o.malformed(fmt.Sprintf("%q is not a header field", line))
 		}
 		value = strings.Trim(value, " \t")
-		if !isValue(value) {
-			return o.unreadable(fmt.Sprintf("field %s has the value %q", name, value))
+		if !isFieldValue(value) {
+			return o.malformed(fmt.Sprintf("field %s has the invalid value %q", name, value))
 		}
 		a.Fields = append(a.Fields, Field{Name: name, Value: value})
 	}
 }
 
-// isToken tells whether a text is a name of a field (RFC 9110, 5.6.2).
+// isToken reports whether s is a token, as field names have to be (RFC 9110, 5.6.2).
 func isToken(s string) bool {
 	for _, c := range []byte(s) {
 		letter := c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
@@ -200,8 +205,8 @@
 	return s != ""
 }
 
-// isValue tells whether a text has no control characters but tabs.
-func isValue(s string) bool {
+// isFieldValue reports whether s contains no control characters except tabs.
+func isFieldValue(s string) bool {
 	for _, c := range []byte(s) {
 		if c < ' ' && c != '\t' || c == 0x7f {
 			return false
@@ -210,34 +215,34 @@
 	return true
 }
 
-func (o *Reader) body(a *Answer, method string) error {
+func (o *Reader) readBody(a *Answer, method string) error {
 	lengths, codings := a.count("Content-Length"), a.count("Transfer-Encoding")
 	switch {
 	case a.Status < 200 || a.Status == http.StatusNoContent:
 		if lengths+codings > 0 {
-			return o.unreadable(fmt.Sprintf("an answer of %d with a length or a coding", a.Status))
+			return o.malformed(fmt.Sprintf("status %d with Content-Length or Transfer-Encoding", a.Status))
 		}
 		return nil
 	case lengths > 1 || codings > 1 || lengths == codings:
-		return o.unreadable(fmt.Sprintf("%d lengths and %d codings", lengths, codings))
+		return o.malformed(fmt.Sprintf("%d Content-Length and %d Transfer-Encoding fields, want one of them", lengths, codings))
 	case codings == 1 && a.Get("Transfer-Encoding") != "chunked":
-		return o.unreadable("the coding is " + a.Get("Transfer-Encoding"))
+		return o.malformed("unsupported transfer coding " + a.Get("Transfer-Encoding"))
 	case method == http.MethodHead || a.Status == http.StatusNotModified:
-		_, err := o.size(a.Get("Content-Length"), 10, lengths == 0)
+		_, err := o.parseLength(a.Get("Content-Length"), 10, lengths == 0)
 		return err
 	case codings == 1:
 		a.Chunked = true
-		return o.chunks(a)
+		return o.readChunks(a)
 	}
-	n, err := o.size(a.Get("Content-Length"), 10, false)
+	n, err := o.parseLength(a.Get("Content-Length"), 10, false)
 	if err != nil {
 		return err
 	}
-	return o.bytes(a, n)
+	return o.readBytes(a, n)
 }
 
-// size reads a number that has digits only.
-func (o *Reader) size(text string, base int64, absent bool) (int64, error) {
+// parseLength parses a length that consists of digits only. absent allows it to be empty.
+func (o *Reader) parseLength(text string, base int64, absent bool) (int64, error) {
 	if text == "" && absent {
 		return 0, nil
 	}
@@ -245,38 +250,38 @@
 	for _, c := range []byte(strings.ToLower(text)) {
 		digit := int64(strings.IndexByte("0123456789abcdef", c))
 		if digit < 0 || digit >= base {
-			return 0, o.unreadable(fmt.Sprintf("%q is no length", text))
+			return 0, o.malformed(fmt.Sprintf("%q is not a length", text))
 		}
-		if n = n*base + digit; n > mostBody {
-			return 0, o.unreadable(fmt.Sprintf("a length of %q", text))
+		if n = n*base + digit; n > maxBody {
+			return 0, o.malformed(fmt.Sprintf("length %q is too large", text))
 		}
 	}
 	if text == "" {
-		return 0, o.unreadable("an empty length")
+		return 0, o.malformed("empty length")
 	}
 	return n, nil
 }
 
-// chunks reads a body in chunks, without extensions and trailers.
-func (o *Reader) chunks(a *Answer) error {
+// readChunks reads a chunked body. Chunk extensions and trailers are errors.
+func (o *Reader) readChunks(a *Answer) error {
 	for {
-		line, err := o.line()
+		line, err := o.readLine()
 		if err != nil {
-			return o.ended(err)
+			return o.truncated(err)
 		}
-		n, err := o.size(line, 16, false)
+		n, err := o.parseLength(line, 16, false)
 		if err != nil {
 			return err
 		}
-		if err := o.bytes(a, n); err != nil {
+		if err := o.readBytes(a, n); err != nil {
 			return err
 		}
-		end, err := o.line()
+		end, err := o.readLine()
 		if err != nil {
-			return o.ended(err)
+			return o.truncated(err)
 		}
 		if end != "" {
-			return o.unreadable(fmt.Sprintf("%q after a chunk of %d bytes", end, n))
+			return o.malformed(fmt.Sprintf("%q after a chunk of %d bytes", end, n))
 		}
 		if n == 0 {
 			return nil
@@ -284,22 +289,22 @@
 	}
 }
 
-func (o *Reader) bytes(a *Answer, n int64) error {
+func (o *Reader) readBytes(a *Answer, n int64) error {
 	for ; n > 0; n-- {
-		b, err := o.byte()
+		b, err := o.readByte()
 		if err != nil {
-			return o.ended(err)
+			return o.truncated(err)
 		}
 		a.Body = append(a.Body, b)
 	}
 	return nil
 }
 
-// line reads up to CR LF; neither may stand alone.
-func (o *Reader) line() (string, error) {
+// readLine reads a line up to CR LF. A CR or LF alone is an error.
+func (o *Reader) readLine() (string, error) {
 	var line []byte
-	for len(line) < mostLine {
-		b, err := o.byte()
+	for len(line) < maxLine {
+		b, err := o.readByte()
 		if err != nil {
 			return string(line), err
 		}
@@ -309,14 +314,14 @@
 		}
 		text, found := strings.CutSuffix(string(line), "\r\n")
 		if !found || strings.ContainsAny(text, "\r\x00") {
-			return "", o.unreadable(fmt.Sprintf("the line %q", line))
+			return "", o.malformed(fmt.Sprintf("invalid line %q", line))
 		}
 		return text, nil
 	}
-	return "", o.unreadable("a line without an end")
+	return "", o.malformed("line too long")
 }
 
-func (o *Reader) byte() (byte, error) {
+func (o *Reader) readByte() (byte, error) {
 	b, err := o.r.ReadByte()
 	if err != nil {
 		return 0, err
@@ -328,14 +333,14 @@
 	return b, nil
 }
 
-// ended makes an ErrCut of an end of the connection.
-func (o *Reader) ended(err error) error {
+// truncated wraps a read error in an ErrCut, unless it is an ErrUnreadable.
+func (o *Reader) truncated(err error) error {
 	if IsErrUnreadable(err) {
 		return err
 	}
 	return ErrCut{Cause: err}
 }
 
-func (o *Reader) unreadable(what string) error {
+func (o *Reader) malformed(what string) error {
 	return ErrUnreadable{What: what, At: o.at, Before: o.before, Dump: hex.Dump(o.recent[max(0, len(o.recent)-dumpBytes):])}
 }
--- a/tests/observe/pipe.go
+++ b/tests/observe/pipe.go
@@ -11,37 +11,36 @@
 	"time"
 )
 
-// Pipe returns the two ends of a connection in memory. As on a network, what is written
-// waits for its reader, and bytes that were sent before a close arrive. Deadlines are not
-// kept.
+// Pipe returns the two ends of an in-memory connection. As on a network, writes are
+// buffered, and bytes written before a close can still be read. Deadlines are ignored.
 func Pipe() (net.Conn, net.Conn) {
 	there, back := newBuffer(), newBuffer()
-	return &end{in: back, out: there}, &end{in: there, out: back}
+	return &pipeEnd{in: back, out: there}, &pipeEnd{in: there, out: back}
 }
 
-// buffer holds the bytes on their way in one direction.
+// buffer has the unread bytes of one direction.
 type buffer struct {
-	mu     sync.Mutex
-	change *sync.Cond
-	bytes  []byte
-	// shut is set once the writer has closed, gone once the reader has.
-	shut, gone bool
+	mu      sync.Mutex
+	changed *sync.Cond
+	bytes   []byte
+	// writerClosed and readerClosed are set when that end has been closed.
+	writerClosed, readerClosed bool
 }
 
 func newBuffer() *buffer {
 	b := &buffer{}
-	b.change = sync.NewCond(&b.mu)
+	b.changed = sync.NewCond(&b.mu)
 	return b
 }
 
 func (b *buffer) read(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for len(b.bytes) == 0 && !b.shut && !b.gone {
-		b.change.Wait()
+	for len(b.bytes) == 0 && !b.writerClosed && !b.readerClosed {
+		b.changed.Wait()
 	}
 	switch {
-	case b.gone:
+	case b.readerClosed:
 		return 0, net.ErrClosed
 	case len(b.bytes) == 0:
 		return 0, io.EOF
@@ -54,36 +53,36 @@
 func (b *buffer) write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.gone || b.shut {
+	if b.readerClosed || b.writerClosed {
 		return 0, syscall.EPIPE
 	}
 	b.bytes = append(b.bytes, p...)
-	b.change.Broadcast()
+	b.changed.Broadcast()
 	return len(p), nil
 }
 
-func (b *buffer) end(set *bool) {
+func (b *buffer) close(set *bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	*set = true
-	b.change.Broadcast()
+	b.changed.Broadcast()
 }
 
-// end is one end of a connection.
-type end struct{ in, out *buffer }
+// pipeEnd is one end of a connection.
+type pipeEnd struct{ in, out *buffer }
 
-func (e *end) Read(p []byte) (int, error)  { return e.in.read(p) }
-func (e *end) Write(p []byte) (int, error) { return e.out.write(p) }
+func (e *pipeEnd) Read(p []byte) (int, error)  { return e.in.read(p) }
+func (e *pipeEnd) Write(p []byte) (int, error) { return e.out.write(p) }
 
 // Close implements net.Conn.
-func (e *end) Close() error {
-	e.out.end(&e.out.shut)
-	e.in.end(&e.in.gone)
+func (e *pipeEnd) Close() error {
+	e.out.close(&e.out.writerClosed)
+	e.in.close(&e.in.readerClosed)
 	return nil
 }
 
-func (e *end) LocalAddr() net.Addr              { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 1} }
-func (e *end) RemoteAddr() net.Addr             { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 2} }
-func (e *end) SetDeadline(time.Time) error      { return nil }
-func (e *end) SetReadDeadline(time.Time) error  { return nil }
-func (e *end) SetWriteDeadline(time.Time) error { return nil }
+func (e *pipeEnd) LocalAddr() net.Addr              { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 1} }
+func (e *pipeEnd) RemoteAddr() net.Addr             { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 2} }
+func (e *pipeEnd) SetDeadline(time.Time) error      { return nil }
+func (e *pipeEnd) SetReadDeadline(time.Time) error  { return nil }
+func (e *pipeEnd) SetWriteDeadline(time.Time) error { return nil }
--- a/tests/observe/record.go
+++ b/tests/observe/record.go
@@ -14,54 +14,54 @@
 	"github.com/pkg/errors"
 )
 
-// Recorder keeps what comes on connections of a lenient client, to be read strictly once
-// they are over. Each connection carries one request.
+// Recorder records the connections of a lenient client, to check them strictly afterwards.
+// Each connection must carry a single request.
 type Recorder struct {
 	mu    sync.Mutex
-	conns []*recorded
+	conns []*recordedConn
 }
 
-// recorded is a connection with the bytes of both ways.
-type recorded struct {
+// recordedConn is a connection that records the bytes of both directions.
+type recordedConn struct {
 	net.Conn
-	mu   sync.Mutex
-	sent bytes.Buffer
-	got  bytes.Buffer
+	mu       sync.Mutex
+	sent     bytes.Buffer
+	received bytes.Buffer
 }
 
 // Read implements net.Conn.
-func (c *recorded) Read(p []byte) (int, error) {
+func (c *recordedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_, _ = c.got.Write(p[:n])
+	_, _ = c.received.Write(p[:n])
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c *recorded) Write(p []byte) (int, error) {
+func (c *recordedConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	_, _ = c.sent.Write(p)
 	c.mu.Unlock()
 	return c.Conn.Write(p)
 }
 
-// DialContext opens a connection that is recorded; see http.Transport.
+// DialContext opens a recorded connection, for http.Transport.
 func (r *Recorder) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	var d net.Dialer
 	conn, err := d.DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
-	c := &recorded{Conn: conn}
+	c := &recordedConn{Conn: conn}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.conns = append(r.conns, c)
 	return c, nil
 }
 
-// Check returns an error for the first connection on which bytes came that are not the
-// one answer to its request. An answer may be cut.
+// Check returns an error for the first connection that received anything but a single
+// answer to its request. Truncated and missing answers are accepted.
 func (r *Recorder) Check() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -73,11 +73,11 @@
 	return nil
 }
 
-func (c *recorded) check() error {
+func (c *recordedConn) check() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	method, _, _ := strings.Cut(c.sent.String(), " ")
-	o := NewReader(bytes.NewReader(c.got.Bytes()))
+	o := NewReader(bytes.NewReader(c.received.Bytes()))
 	_, err := o.Answer(method)
 	if IsErrCut(err) || err == io.EOF {
 		return nil
--- a/tests/observe/record_test.go
+++ b/tests/observe/record_test.go
@@ -10,18 +10,19 @@
 	"testing"
 )
 
-// A lenient client takes answers that the recorder does not.
+// TestRecorder checks that the recorder rejects answers that the lenient client of net/http
+// accepts.
 func TestRecorder(t *testing.T) {
 	cases := map[string]struct {
 		answer string
-		sound  bool
+		valid  bool
 	}{
-		"whole":                    {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", true},
-		"cut":                      {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", true},
-		"nothing":                  {"", true},
-		"two answers":              {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", false},
-		"a line without its CR":    {"HTTP/1.1 200 OK\nContent-Length: 2\r\n\r\nok", false},
-		"a length that is no such": {"HTTP/1.1 200 OK\r\nContent-Length: 0x2\r\n\r\nok", false},
+		"complete":               {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", true},
+		"truncated":              {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", true},
+		"empty":                  {"", true},
+		"two answers":            {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", false},
+		"line without CR":        {"HTTP/1.1 200 OK\nContent-Length: 2\r\n\r\nok", false},
+		"invalid Content-Length": {"HTTP/1.1 200 OK\r\nContent-Length: 0x2\r\n\r\nok", false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -45,8 +46,8 @@
 				_, _ = io.ReadAll(resp.Body)
 				_ = resp.Body.Close()
 			}
-			if err := r.Check(); (err == nil) != c.sound {
-				t.Fatalf("checked %v", err)
+			if err := r.Check(); (err == nil) != c.valid {
+				t.Fatalf("unexpected result: %v", err)
 			}
 		})
 	}
--- a/tests/seeded/seeded.go
+++ b/tests/seeded/seeded.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package seeded fixes the seed of random tests, so that a run gives the same
-// verdict every time. With HAVENWINCH_FUZZ set the seeds are free.
+// Package seeded sets a fixed seed for randomised tests, so that their results are
+// reproducible. If HAVENWINCH_FUZZ is set, seeds are random.
 package seeded
 
 import (
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// Main runs a package's tests; call it from TestMain.
+// Main runs the tests of a package and exits. Call it from TestMain.
 func Main(m *testing.M) {
 	flag.Parse()
 	if os.Getenv("HAVENWINCH_FUZZ") == "" {
--- a/tests/single/single.go
+++ b/tests/single/single.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package single puts the parts of one box together inside a test: callers'
-// interface, dispatcher, a keeper on a disk in memory, control state without
-// a network, and stand-in targets.
+// Package single runs a complete box inside a test process: the caller interface, the
+// dispatcher, a keeper on an in-memory disk, control without a network, and simulated
+// targets.
 package single
 
 import (
@@ -45,17 +45,18 @@
 	list "havenwinch.dev/havenwinch/standin/platform"
 )
 
-// Key is the access key of group north/a, which may call model m1 and service
-// portal at any priority; BatchKey that of north/batch.
 const (
-	Key      = "key-of-north-a"
+	// Key is the access key of group north/a, which may call model m1 and service
+	// portal at any priority.
+	Key = "key-of-north-a"
+	// BatchKey is the access key of group north/batch.
 	BatchKey = "key-of-north-batch"
-	// Box is the name of the box, DataCentre where it stands.
+	// Box is the name of the box and DataCentre that of its data centre.
 	Box        = "box-1"
 	DataCentre = "dc-a"
 )
 
-// controlCalls answers a keeper without a network.
+// controlCalls forwards the calls of the keeper to control within the process.
 type controlCalls struct{ service *control.Service }
 
 func (c *controlCalls) Register(ctx context.Context, r *betweenv1.RegisterRequest) (*betweenv1.RegisterResponse, error) {
@@ -66,14 +67,14 @@
 	return c.service.Sync(ctx, r.GetSync())
 }
 
-// holders reaches the one keeper.
-type holders struct{ single *Single }
+// keeperCalls forwards the calls of control to the only keeper.
+type keeperCalls struct{ single *Single }
 
-func (h *holders) Recall(ctx context.Context, _ string, r *betweenv1.RecallRequest) (*betweenv1.RecallResponse, error) {
+func (h *keeperCalls) Recall(ctx context.Context, _ string, r *betweenv1.RecallRequest) (*betweenv1.RecallResponse, error) {
 	return h.single.Keeper.Recall(ctx, r)
 }
 
-// Single is the box.
+// Single is a running box with its targets.
 type Single struct {
 	T          testing.TB
 	Control    *control.Service
@@ -90,51 +91,57 @@
 	Policy     target.Policy
 	URL        string
 	Logger     *slog.Logger
-	number     uint64
+	// number is the number of the last command.
+	number uint64
 }
 
-// Options describe the box and its targets.
+// Options are the settings of the box and its targets. Zero values select defaults.
 type Options struct {
-	Tokens  uint64
+	// Tokens is the budget north/main.
+	Tokens uint64
+	// Engines are the simulated engines; by default there is one DefaultEngine.
 	Engines []standin.Options
-	// Services are handlers of the plain service portal.
+	// Services are handlers of the plain service portal, one per target.
 	Services []http.Handler
-	Window   time.Duration
-	// Wrap wraps the handler of each target; end ends the target as a crash does.
+	// Window is how long idempotency keys are kept; 1 h by default.
+	Window time.Duration
+	// Wrap, if not nil, wraps the handler of each target. end simulates a crash of the
+	// target.
 	Wrap func(h http.Handler, end func()) http.Handler
-	// Keepers wraps the access to the ledger, to make it fail.
+	// Keepers, if not nil, wraps the access to the ledger, for example to inject errors.
 	Keepers func(dispatch.Keepers) dispatch.Keepers
+	// MaxBody limits the request body, in bytes; 1 MiB by default.
 	MaxBody int
-	// ReadTimeout bounds the reading of a request.
+	// ReadTimeout limits the time for reading a request; 1 min by default.
 	ReadTimeout time.Duration
-	// ListLate keeps control's list of quarantined calls from the box until ListCalls.
+	// ListLate withholds control's list of quarantined calls from the box until ListCalls.
 	ListLate bool
 }
 
-// DefaultEngine is a quick engine.
+// DefaultEngine is a fast engine with eight slots.
 var DefaultEngine = standin.Options{Slots: 8, PrefillPerSecond: 1_000_000, TokenTime: time.Millisecond, CacheBlocks: 64}
 
-// New builds the box and starts it; it ends with the test.
+// New starts a box and waits until it serves callers. It stops at the end of the test.
 func New(t testing.TB, opts Options) *Single {
 	t.Helper()
 	s := &Single{T: t, Disk: disktest.New(), Platform: list.New(1), Logger: logging.Discard(), Machine: control.NewMachine()}
 	stamps := hlc.New(clock.System{})
 	s.Recorder = timeline.New(Box, DataCentre, stamps)
 	s.Control = control.New(control.Options{
-		Log: controltest.Log{Machine: s.Machine}, Machine: s.Machine, Keepers: &holders{single: s}, Policy: allot.DefaultPolicy(),
+		Log: controltest.Log{Machine: s.Machine}, Machine: s.Machine, Keepers: &keeperCalls{single: s}, Policy: allot.DefaultPolicy(),
 		Clock: clock.System{}, Recorder: s.Recorder, Logger: s.Logger,
 	})
-	s.configure(opts.Tokens)
+	s.createGroups(opts.Tokens)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	s.build(ctx, opts)
+	s.startServices(ctx, opts)
 	s.addTargets(opts)
-	s.listen(ctx, opts)
-	s.await()
+	s.serveCallers(ctx, opts)
+	s.waitReady()
 	return s
 }
 
-func (s *Single) configure(tokens uint64) {
+func (s *Single) createGroups(tokens uint64) {
 	s.T.Helper()
 	texts := []string{
 		"create organisation north share 1",
@@ -150,7 +157,8 @@
 	}
 }
 
-// Command runs an operator's command that must succeed.
+// Command runs an operator command and applies the new configuration at the box. The
+// command must succeed.
 func (s *Single) Command(text string) {
 	s.T.Helper()
 	s.number++
@@ -159,11 +167,11 @@
 		s.T.Fatalf("%s: %v %s", text, err, r.GetMessage())
 	}
 	if s.Store != nil {
-		s.follow()
+		s.applyConfiguration()
 	}
 }
 
-func (s *Single) follow() {
+func (s *Single) applyConfiguration() {
 	s.T.Helper()
 	source := configuration.MachineSource{Machine: s.Machine, SyncAge: func() time.Duration { return 0 }}
 	if _, err := s.Store.Apply(source.Since(s.Store.Position())); err != nil {
@@ -174,33 +182,33 @@
 	}
 }
 
-// reporter returns what tells control of calls under which targets ended, and the box
-// of control's list.
+// reporter returns the function that reports calls that crashed targets to control and,
+// unless ListLate is set, applies control's list of quarantined calls at the box.
 func (s *Single) reporter(opts Options) func(context.Context, *statev1.ReportCalls) error {
 	return func(ctx context.Context, r *statev1.ReportCalls) error {
 		if err := s.Control.Quarantine().Report(ctx, r); err != nil || opts.ListLate {
 			return err
 		}
-		return s.takeList()
+		return s.applyQuarantineList()
 	}
 }
 
-func (s *Single) takeList() error {
+func (s *Single) applyQuarantineList() error {
 	source := configuration.MachineSource{Machine: s.Machine, SyncAge: func() time.Duration { return 0 }}
 	_, err := s.Store.Apply(source.Since(s.Store.Position()))
 	return err
 }
 
-// ListCalls brings control's list of quarantined calls to the box.
+// ListCalls applies control's list of quarantined calls at the box.
 func (s *Single) ListCalls() {
 	s.T.Helper()
-	if err := s.takeList(); err != nil {
+	if err := s.applyQuarantineList(); err != nil {
 		s.T.Fatal(err)
 	}
 	s.Quarantine.ProcessList()
 }
 
-// HeldByControl returns how many calls control holds back.
+// HeldByControl returns the number of calls that control has in quarantine.
 func (s *Single) HeldByControl() (n int) {
 	s.Machine.Read(func(st *state.State) {
 		for _, row := range st.Quarantine.Listed() {
@@ -212,7 +220,7 @@
 	return n
 }
 
-func (s *Single) build(ctx context.Context, opts Options) {
+func (s *Single) startServices(ctx context.Context, opts Options) {
 	s.T.Helper()
 	if opts.Window == 0 {
 		opts.Window = time.Hour
@@ -256,15 +264,15 @@
 		e := standin.New(o)
 		s.Engines = append(s.Engines, e)
 		name := "engine-" + strconv.FormatUint(uint64(i+1), 10)
-		s.Platform.Put(list.Target{Name: name, Address: s.serve(opts, e.Handler()), Kind: "engine", Models: []string{"m1"}, DataCentre: DataCentre, State: "live"})
+		s.Platform.Put(list.Target{Name: name, Address: s.serveTarget(opts, e.Handler()), Kind: "engine", Models: []string{"m1"}, DataCentre: DataCentre, State: "live"})
 	}
 	for i, h := range opts.Services {
 		name := "portal-" + strconv.FormatUint(uint64(i+1), 10)
-		s.Platform.Put(list.Target{Name: name, Address: s.serve(opts, h), Kind: "service", Service: "portal", DataCentre: DataCentre, State: "live"})
+		s.Platform.Put(list.Target{Name: name, Address: s.serveTarget(opts, h), Kind: "service", Service: "portal", DataCentre: DataCentre, State: "live"})
 	}
 }
 
-func (s *Single) serve(opts Options, h http.Handler) string {
+func (s *Single) serveTarget(opts Options, h http.Handler) string {
 	server := httptest.NewUnstartedServer(h)
 	if opts.Wrap != nil {
 		server.Config.Handler = opts.Wrap(h, func() {
@@ -281,7 +289,7 @@
 	return server.Listener.Addr().String()
 }
 
-func (s *Single) listen(ctx context.Context, opts Options) {
+func (s *Single) serveCallers(ctx context.Context, opts Options) {
 	if opts.ReadTimeout == 0 {
 		opts.ReadTimeout = time.Minute
 	}
@@ -301,10 +309,10 @@
 	s.T.Cleanup(func() { _ = s.Caller.Server().Shutdown() })
 }
 
-// Poll brings the platform's list and the targets' reports to the dispatcher.
+// Poll passes the platform's list and the load reports of the targets to the dispatcher.
 func (s *Single) Poll() {
 	s.T.Helper()
-	rows, err := s.rows()
+	rows, err := s.listTargets()
 	if err != nil {
 		s.T.Fatal(err)
 	}
@@ -313,7 +321,7 @@
 	p.PollReports(context.Background())
 }
 
-func (s *Single) rows() ([]*target.Target, error) {
+func (s *Single) listTargets() ([]*target.Target, error) {
 	server := httptest.NewServer(s.Platform.Handler())
 	defer server.Close()
 	lister := &targetlist.HTTPLister{URL: server.URL}
@@ -321,27 +329,27 @@
 	return targetlist.TargetsOf(l), err
 }
 
-// await returns once the keeper is in force and the targets are known.
-func (s *Single) await() {
+// waitReady waits until the keeper is registered and the dispatcher knows the targets.
+func (s *Single) waitReady() {
 	s.T.Helper()
-	s.Eventually("the keeper is in force", func() bool { return s.Keeper.Err() == nil })
-	s.follow()
+	s.Eventually("the keeper is registered", func() bool { return s.Keeper.Err() == nil })
+	s.applyConfiguration()
 	s.Poll()
 }
 
-// Eventually waits for a condition that background work will meet.
+// Eventually polls a condition and fails the test if it does not hold within 20 s.
 func (s *Single) Eventually(what string, met func() bool) {
 	s.T.Helper()
 	deadline := time.Now().Add(20 * time.Second)
 	for !met() {
 		if time.Now().After(deadline) {
-			s.T.Fatalf("not met: %s", what)
+			s.T.Fatalf("timed out waiting until %s", what)
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// Record returns the ledger's record of a key.
+// Record returns the ledger's record of an idempotency key of a group.
 func (s *Single) Record(group, key string) *statev1.RequestRecord {
 	s.T.Helper()
 	resp, err := s.Keeper.Lookup(context.Background(), &betweenv1.LookupRequest{Group: group, Key: key})
@@ -351,7 +359,7 @@
 	return resp.GetRequest()
 }
 
-// Cell returns one cell of a query's only row.
+// Cell returns the value of a column in the only row of a query result.
 func (s *Single) Cell(query, column string) string {
 	s.T.Helper()
 	resp, err := s.Control.Query(query)
--- a/tests/tour/main.go
+++ b/tests/tour/main.go
@@ -1,10 +1,10 @@
 // Copyright 2026 The Havenwinch Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Command tour shows the main job on a small fleet of separate processes: an
-// operator prepares a budget, a caller gets a streamed answer, its bill and a
-// plain refusal, and the request's time line is shown. With --stay the fleet
-// goes on until it is interrupted.
+// Command tour demonstrates the main use case on a small fleet of separate processes: an
+// operator creates a budget, a caller gets a streamed answer with its bill and then a
+// refusal, and the timeline of the request is shown. With --stay the fleet keeps running
+// until it is interrupted.
 package main
 
 import (
@@ -28,11 +28,10 @@
 
 const (
 	groupKey  = "hw-key-of-the-tour"
-	addressed = 10 * time.Second
+	waitLimit = 10 * time.Second
 )
 
-// Specs are the boxes of the tour: three entries in two data centres and a
-// control box.
+// specs are the boxes of the tour: three entry boxes in two data centres and a control box.
 var specs = []fleet.BoxSpec{
 	{Name: "entry-a1", DataCentre: "dc-a", Roles: "entry,keeper"},
 	{Name: "entry-a2", DataCentre: "dc-a", Roles: "entry"},
@@ -42,7 +41,7 @@
 
 func main() {
 	stay := flag.Bool("stay", false, "leave the fleet running until interrupted")
-	bin := flag.String("bin", "bin", "folder of the programs")
+	bin := flag.String("bin", "bin", "directory of the binaries")
 	flag.Parse()
 	if err := run(*bin, *stay); err != nil {
 		fmt.Fprintln(os.Stderr, "tour:", err)
@@ -50,25 +49,25 @@
 	}
 }
 
-// tour is one run.
+// tour is a running fleet with its simulated platform and targets.
 type tour struct {
-	fleet   *fleet.Fleet
-	standin *exec.Cmd
+	fleet     *fleet.Fleet
+	simulator *exec.Cmd
 }
 
 func run(bin string, stay bool) error {
-	folder, err := os.MkdirTemp("", "havenwinch-tour-")
+	dir, err := os.MkdirTemp("", "havenwinch-tour-")
 	if err != nil {
 		return err
 	}
-	defer os.RemoveAll(folder)
+	defer os.RemoveAll(dir)
 	t := &tour{}
-	platform, err := t.startStandin(bin, folder)
+	platform, err := t.startSimulator(bin, dir)
 	if err != nil {
 		return err
 	}
-	defer t.stopStandin()
-	if t.fleet, err = fleet.New(bin, folder, platform, specs); err != nil {
+	defer t.stopSimulator()
+	if t.fleet, err = fleet.New(bin, dir, platform, specs); err != nil {
 		return err
 	}
 	defer t.fleet.Close()
@@ -76,7 +75,7 @@
 		return err
 	}
 	fmt.Print("== the fleet\n", t.fleet)
-	if err := t.show(); err != nil {
+	if err := t.runSteps(); err != nil {
 		return err
 	}
 	if stay {
@@ -86,16 +85,16 @@
 		defer stop()
 		<-ctx.Done()
 	}
-	return t.stop()
+	return t.stopBoxes()
 }
 
-func (t *tour) startStandin(bin, folder string) (string, error) {
-	file := filepath.Join(folder, "platform")
-	t.standin = exec.Command(filepath.Join(bin, "standin"), "--data-centre", "dc-a", "--data-centre", "dc-b", "--address-file", file)
-	if err := t.standin.Start(); err != nil {
+func (t *tour) startSimulator(bin, dir string) (string, error) {
+	file := filepath.Join(dir, "platform")
+	t.simulator = exec.Command(filepath.Join(bin, "standin"), "--data-centre", "dc-a", "--data-centre", "dc-b", "--address-file", file)
+	if err := t.simulator.Start(); err != nil {
 		return "", errors.WithStack(err)
 	}
-	deadline := time.Now().Add(addressed)
+	deadline := time.Now().Add(waitLimit)
 	for time.Now().Before(deadline) {
 		data, err := os.ReadFile(file)
 		if err == nil && strings.HasPrefix(string(data), "http://") {
@@ -103,16 +102,16 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	return "", errors.New("the stand-ins did not start in time")
+	return "", errors.New("timed out waiting for the simulated platform to start")
 }
 
-func (t *tour) stopStandin() {
-	_ = t.standin.Process.Signal(syscall.SIGTERM)
-	_ = t.standin.Wait()
+func (t *tour) stopSimulator() {
+	_ = t.simulator.Process.Signal(syscall.SIGTERM)
+	_ = t.simulator.Wait()
 }
 
-// show runs the steps and prints each with its answer.
-func (t *tour) show() error {
+// runSteps runs the steps and prints each command with its output.
+func (t *tour) runSteps() error {
 	setup := []string{
 		"create organisation north share 1",
 		"create budget north/main tokens 1000",
@@ -120,58 +119,58 @@
 		"add key " + digest.Of([]byte(groupKey)) + " to north/texts",
 	}
 	for i, text := range setup {
-		if err := t.step(true, "command", "--number", fmt.Sprint(i+1), text); err != nil {
+		if err := t.runStep(true, "command", "--number", fmt.Sprint(i+1), text); err != nil {
 			return err
 		}
 	}
 	if err := t.fleet.AwaitReady(); err != nil {
 		return err
 	}
-	answer, err := t.tool("send", "--key", groupKey, "--model", "small-1", "--max-tokens", "12", "--idempotency-key", "tour-1", "Sum up the minutes of Monday.")
+	answer, err := t.runTool("send", "--key", groupKey, "--model", "small-1", "--max-tokens", "12", "--idempotency-key", "tour-1", "Sum up the minutes of Monday.")
 	if err != nil {
 		return err
 	}
 	fmt.Printf("\n== havenwinch send (a caller's request)\n%s", answer)
-	if err := t.step(false, "send", "--key", groupKey, "--model", "small-1", "--max-tokens", "5000", "A request that the budget can't cover."); err == nil {
-		return errors.New("the refusal did not come")
+	if err := t.runStep(false, "send", "--key", groupKey, "--model", "small-1", "--max-tokens", "5000", "A request that the budget can't cover."); err == nil {
+		return errors.New("the request over budget was not refused")
 	}
-	if err := t.awaitSpent(); err != nil {
+	if err := t.waitBilled(); err != nil {
 		return err
 	}
-	if err := t.step(true, "query", "show groups"); err != nil {
+	if err := t.runStep(true, "query", "show groups"); err != nil {
 		return err
 	}
-	if err := t.step(true, "query", "show budgets"); err != nil {
+	if err := t.runStep(true, "query", "show budgets"); err != nil {
 		return err
 	}
 	request := regexp.MustCompile(`request ([0-9a-f-]{36}) billed`).FindStringSubmatch(answer)
 	if request == nil {
-		return errors.New("the answer named no request")
+		return errors.New("the answer has no request id")
 	}
-	return t.step(true, "timeline", "--request", request[1])
+	return t.runStep(true, "timeline", "--request", request[1])
 }
 
-// awaitSpent waits until the keepers' reports have reached control.
-func (t *tour) awaitSpent() error {
-	deadline := time.Now().Add(addressed)
+// waitBilled waits until the keepers have reported the bill to control.
+func (t *tour) waitBilled() error {
+	deadline := time.Now().Add(waitLimit)
 	for time.Now().Before(deadline) {
-		out, err := t.tool("query", "show groups where requests = 1 and reserved = 0 and waiting = 0")
+		out, err := t.runTool("query", "show groups where requests = 1 and reserved = 0 and waiting = 0")
 		if err == nil && strings.Contains(out, "north/texts") {
 			return nil
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	return errors.New("the bill did not reach control in time")
+	return errors.New("timed out waiting for the bill to reach control")
 }
 
-func (t *tour) tool(args ...string) (string, error) {
+func (t *tour) runTool(args ...string) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	return t.fleet.Tool(ctx, args...)
 }
 
-func (t *tour) step(must bool, args ...string) error {
-	out, err := t.tool(args...)
+func (t *tour) runStep(must bool, args ...string) error {
+	out, err := t.runTool(args...)
 	fmt.Printf("\n== havenwinch %s\n%s", strings.Join(args, " "), out)
 	if err != nil && must {
 		return errors.Wrapf(err, "havenwinch %s", args[0])
@@ -179,8 +178,8 @@
 	return err
 }
 
-// stop ends all boxes as planned, the control box last.
-func (t *tour) stop() error {
+// stopBoxes shuts all boxes down gracefully, the control box last.
+func (t *tour) stopBoxes() error {
 	fmt.Print("\n== stopping\n")
 	for _, name := range t.fleet.Names() {
 		if err := t.fleet.Stop(name); err != nil {
