--- a/tests/soak/caller_test.go
+++ b/tests/soak/caller_test.go
@@ -130,13 +130,13 @@
 	a, err := c.reader.Answer(http.MethodPost)
 	o.status, o.body, o.complete, o.retryAfter, o.signed = a.Status, string(a.Body), err == nil, a.Get("Retry-After"), a.Get("Server-Signature") != ""
 	if observe.IsErrUnreadable(err) {
-		c.all.platform.violation("request %s (%s) over %s: %v", o.id, o.route, c.conn.RemoteAddr(), err)
+		c.all.platform.recordViolation("request %s (%s) over %s: %v", o.id, o.route, c.conn.RemoteAddr(), err)
 	}
 	if got := a.Get("Attempt-Id"); got != "" && got != o.id {
-		c.all.platform.violation("request %s received the answer to %s", o.id, got)
+		c.all.platform.recordViolation("request %s received the answer to %s", o.id, got)
 	}
 	if observe.IsErrCut(err) && a.Status == http.StatusOK && !c.all.platform.wasTruncated(o.id) && !c.all.platform.disruptions.explainsTruncation(o.id, o.box, o.sentAt) {
-		c.all.platform.violation("request %s (%s) was truncated at %s after %s and %d bytes without a fault that explains it", o.id, o.route, o.box, time.Since(o.sentAt), len(a.Body))
+		c.all.platform.recordViolation("request %s (%s) was truncated at %s after %s and %d bytes without a fault that explains it", o.id, o.route, o.box, time.Since(o.sentAt), len(a.Body))
 	}
 	if err != nil || a.Closes() {
 		c.disconnect()
@@ -145,15 +145,15 @@
 }
 
 // record records an outcome and makes the checks that do not depend on later events.
-func (cs *callerPool) record(o outcome) {
-	cs.mu.Lock()
-	cs.outcomes = append(cs.outcomes, o)
-	cs.mu.Unlock()
+func (p *callerPool) record(o outcome) {
+	p.mu.Lock()
+	p.outcomes = append(p.outcomes, o)
+	p.mu.Unlock()
 	if strings.Contains(o.body, quarantinedKind) {
-		cs.platform.violation("request %s (%s) was quarantined although it crashed no server", o.id, o.route)
+		p.platform.recordViolation("request %s (%s) was quarantined although it crashed no server", o.id, o.route)
 	}
-	if o.signed && o.status != http.StatusOK && !cs.platform.hasFailed(o.id, o.status) {
-		cs.platform.violation("request %s (%s) got status %d signed by a server, but no server sent it", o.id, o.route, o.status)
+	if o.signed && o.status != http.StatusOK && !p.platform.hasFailed(o.id, o.status) {
+		p.platform.recordViolation("request %s (%s) got status %d signed by a server, but no server sent it", o.id, o.route, o.status)
 	}
 	if o.status != http.StatusOK {
 		return
@@ -167,37 +167,37 @@
 		want = b.String()
 	}
 	// If an answer has neither a length nor chunks, its truncation goes unnoticed.
-	truncated := strings.HasPrefix(want, o.body) && (!o.complete || cs.platform.wasTruncated(o.id))
+	truncated := strings.HasPrefix(want, o.body) && (!o.complete || p.platform.wasTruncated(o.id))
 	if o.body != want && !truncated {
-		cs.platform.violation("request %s (%s) got an unexpected body %q", o.id, o.route, o.body)
+		p.platform.recordViolation("request %s (%s) got an unexpected body %q", o.id, o.route, o.body)
 	}
 }
 
 // check compares all outcomes with the requests that servers executed, and counts them.
-func (cs *callerPool) check() (served, refused, failed int) {
-	cs.mu.Lock()
-	defer cs.mu.Unlock()
+func (p *callerPool) check() (served, refused, failed int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	atMostOnce := map[string]bool{"plain/unsafe": true, "stream/once": true}
-	for _, o := range cs.outcomes {
-		runs := cs.platform.runCount(o.id)
+	for _, o := range p.outcomes {
+		runs := p.platform.runCount(o.id)
 		if atMostOnce[o.route] && runs > 1 {
-			cs.platform.violation("request %s (%s) was executed %d times, want at most once", o.id, o.route, runs)
+			p.platform.recordViolation("request %s (%s) was executed %d times, want at most once", o.id, o.route, runs)
 		}
 		switch {
 		case o.status == http.StatusServiceUnavailable || o.status == http.StatusTooManyRequests || o.status == http.StatusRequestTimeout:
 			refused++
 			if runs > 0 {
-				cs.platform.violation("request %s (%s) was refused with status %d after a server had executed it", o.id, o.route, o.status)
+				p.platform.recordViolation("request %s (%s) was refused with status %d after a server had executed it", o.id, o.route, o.status)
 			}
 			if o.retryAfter == "" {
-				cs.platform.violation("request %s was refused with status %d without Retry-After", o.id, o.status)
+				p.platform.recordViolation("request %s was refused with status %d without Retry-After", o.id, o.status)
 			}
 		case o.status == http.StatusOK && o.complete:
 			served++
 		case o.signed && o.status != http.StatusOK:
 			failed++
 		case o.status == http.StatusUnauthorized || o.status == http.StatusNotFound:
-			cs.platform.violation("request %s got unexpected status %d", o.id, o.status)
+			p.platform.recordViolation("request %s got unexpected status %d", o.id, o.status)
 		default:
 			failed++
 		}
--- a/tests/soak/crash_test.go
+++ b/tests/soak/crash_test.go
@@ -35,14 +35,14 @@
 // crashDuring crashes the server while it handles a call. For a stream the response head is
 // sent first.
 func (sv *server) crashDuring(w http.ResponseWriter, r *http.Request, body string) {
-	s := sv.platform
+	p := sv.platform
 	id := sv.id
 	if !strings.Contains(body, sameID) {
-		id = s.newServerID()
+		id = p.newServerID()
 	}
-	s.mu.Lock()
-	s.crashes[body]++
-	s.mu.Unlock()
+	p.mu.Lock()
+	p.crashes[body]++
+	p.mu.Unlock()
 	if strings.HasPrefix(r.URL.Path, "/stream/") {
 		w.Header().Set("Attempt-Id", r.Header.Get("Attempt-Id"))
 		w.Header().Set("Server-Signature", sv.id)
@@ -66,14 +66,14 @@
 
 // repeatCrashingCall repeats a call that crashes servers, each time with a new request id and to
 // a random box, until stop is closed. It returns the body of the call.
-func (w *testbed) repeatCrashingCall(stop <-chan struct{}, rng *rand.Rand) string {
+func (tb *testbed) repeatCrashingCall(stop <-chan struct{}, rng *rand.Rand) string {
 	routes := []string{"stream/once", "stream/resume", "plain/unsafe", "plain/safe"}
 	route := routes[rng.Intn(len(routes))]
-	body := fmt.Sprint(crashBody, " ", w.all.seed)
+	body := fmt.Sprint(crashBody, " ", tb.all.seed)
 	if rng.Intn(2) == 0 {
 		body += " " + sameID
 	}
-	c := w.caller(3000)
+	c := tb.caller(3000)
 	for n := 0; ; n++ {
 		select {
 		case <-stop:
@@ -81,7 +81,7 @@
 			return body
 		case <-time.After(time.Duration(50+rng.Intn(300)) * time.Millisecond):
 		}
-		c.sendBody(fmt.Sprintf("fatal-%d-%d", w.all.seed, n), route, "key-large", body)
+		c.sendBody(fmt.Sprintf("fatal-%d-%d", tb.all.seed, n), route, "key-large", body)
 		if rng.Intn(2) == 0 {
 			c.disconnect()
 		}
@@ -93,10 +93,10 @@
 // never counted.
 const maxCrashesUnderFaults = 12
 
-func (s *platform) crashCount(body string) int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.crashes[body]
+func (p *platform) crashCount(body string) int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.crashes[body]
 }
 
 // Guards against a single call that crashes one server after the other. In production
@@ -119,10 +119,10 @@
 }
 
 func testRepeatedCall(t *testing.T, route, body string) {
-	w := newTestbed(t, 21, 3, 3, 4, 4)
+	tb := newTestbed(t, 21, 3, 3, 4, 4)
 	t.Cleanup(func() {
 		if t.Failed() {
-			w.saveLogs(t, 21)
+			tb.saveLogs(t, 21)
 		}
 	})
 	ctx, stop := context.WithCancel(context.Background())
@@ -131,40 +131,40 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			w.caller(n).run(ctx.Done())
+			tb.caller(n).run(ctx.Done())
 		}()
 	}
 	t.Cleanup(func() {
 		stop()
 		wg.Wait()
 	})
-	w.waitQuarantined(t, route, body)
-	crashed := w.platform.crashCount(body)
-	w.killAll()
-	w.startAll(t)
-	w.ready(t)
-	w.waitQuarantined(t, route, body)
-	if after := w.platform.crashCount(body); after != crashed {
+	tb.waitQuarantined(t, route, body)
+	crashed := tb.platform.crashCount(body)
+	tb.killAll()
+	tb.startAll(t)
+	tb.ready(t)
+	tb.waitQuarantined(t, route, body)
+	if after := tb.platform.crashCount(body); after != crashed {
 		t.Errorf("the call crashed %d more servers after the restart of all boxes", after-crashed)
 	}
 	stop()
 	wg.Wait()
 	t.Logf("%d servers crashed", crashed)
-	w.checkResults(t)
+	tb.checkResults(t)
 }
 
 // waitQuarantined repeats a call at each entry box in turn until that box refuses it
 // as quarantined.
-func (w *testbed) waitQuarantined(t *testing.T, route, body string) {
+func (tb *testbed) waitQuarantined(t *testing.T, route, body string) {
 	t.Helper()
-	for n, address := range w.all.entries {
+	for n, address := range tb.all.entries {
 		waitFor(t, address+" refuses the call", func() bool {
-			c := w.caller(2000 + n)
-			c.all = &callerPool{platform: w.platform, entries: []string{address}, names: w.all.names[n : n+1], seed: w.all.seed}
+			c := tb.caller(2000 + n)
+			c.all = &callerPool{platform: tb.platform, entries: []string{address}, names: tb.all.names[n : n+1], seed: tb.all.seed}
 			defer c.disconnect()
-			w.lastCopy++
-			o := c.sendBody(fmt.Sprintf("copy-%d", w.lastCopy), route, "key-large", body)
-			if crashed := w.platform.crashCount(body); crashed > maxCrashes {
+			tb.lastCopy++
+			o := c.sendBody(fmt.Sprintf("copy-%d", tb.lastCopy), route, "key-large", body)
+			if crashed := tb.platform.crashCount(body); crashed > maxCrashes {
 				t.Fatalf("one call crashed %d servers", crashed)
 			}
 			return o.status == http.StatusServiceUnavailable && strings.Contains(o.body, quarantinedKind)
--- a/tests/soak/disconnect_test.go
+++ b/tests/soak/disconnect_test.go
@@ -23,22 +23,22 @@
 }
 
 // recordArrival records the arrival of a request at a server.
-func (s *platform) recordArrival(id string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	p := s.visits[id]
-	if p == nil {
-		p = &visits{}
-		s.visits[id] = p
+func (p *platform) recordArrival(id string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	v := p.visits[id]
+	if v == nil {
+		v = &visits{}
+		p.visits[id] = v
 	}
-	p.arrivals = append(p.arrivals, time.Now())
+	v.arrivals = append(v.arrivals, time.Now())
 }
 
 // recordCompletion records that a server has finished a request, whether it was answered or cancelled.
-func (s *platform) recordCompletion(id string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.visits[id].completions = append(s.visits[id].completions, time.Now())
+func (p *platform) recordCompletion(id string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.visits[id].completions = append(p.visits[id].completions, time.Now())
 }
 
 // Guards against work for callers that have disconnected. They disconnect in every phase
@@ -47,16 +47,16 @@
 // or be processed there; the users' platform tolerates a few late arrivals and a quarter
 // of the calls being processed longer.
 func TestServersStopWorkForDisconnectedCallers(t *testing.T) {
-	w := newTestbed(t, 41, 1, 3, 3, 1)
+	tb := newTestbed(t, 41, 1, 3, 3, 1)
 	t.Cleanup(func() {
 		if t.Failed() {
-			w.saveLogs(t, 41)
+			tb.saveLogs(t, 41)
 		}
 	})
 	const calls, callers, output = 40, 8, 6000
-	w.platform.headDelay = 4 * time.Second
+	tb.platform.headDelay = 4 * time.Second
 	var mu sync.Mutex
-	left := map[string]time.Time{}
+	disconnectedAt := map[string]time.Time{}
 	var wg sync.WaitGroup
 	for n := range callers {
 		wg.Add(1)
@@ -64,55 +64,55 @@
 			defer wg.Done()
 			rng := rand.New(rand.NewSource(int64(n)))
 			for k := range calls {
-				id := fmt.Sprintf("leaves-%d-%d-%d", n, k, k%2)
-				at := w.sendAndDisconnect(t, rng, id, output)
+				id := fmt.Sprintf("disconnect-%d-%d-%d", n, k, k%2)
+				at := tb.sendAndDisconnect(t, rng, id, output)
 				mu.Lock()
-				left[id] = at
+				disconnectedAt[id] = at
 				mu.Unlock()
 			}
 		}()
 	}
 	wg.Wait()
 	// A run that is not stopped generates all its events within 5 s.
-	waitFor(t, "all servers are idle", func() bool { return w.platform.inFlight() == 0 })
-	late, outlived, ran := 0, 0, 0
-	w.platform.mu.Lock()
-	for id, at := range left {
-		p := w.platform.visits[id]
-		if p == nil {
+	waitFor(t, "all servers are idle", func() bool { return tb.platform.inFlight() == 0 })
+	late, overdue, ran := 0, 0, 0
+	tb.platform.mu.Lock()
+	for id, at := range disconnectedAt {
+		v := tb.platform.visits[id]
+		if v == nil {
 			continue
 		}
 		ran++
-		for _, arrived := range p.arrivals {
+		for _, arrived := range v.arrivals {
 			if arrived.After(at.Add(disconnectBound)) {
 				late++
 			}
 		}
-		for _, ended := range p.completions {
-			if ended.After(at.Add(disconnectBound)) {
-				outlived++
+		for _, completed := range v.completions {
+			if completed.After(at.Add(disconnectBound)) {
+				overdue++
 				break
 			}
 		}
 	}
-	w.platform.mu.Unlock()
-	t.Logf("%d of %d calls reached a server; %d requests arrived late, %d calls were processed too long", ran, len(left), late, outlived)
-	const few = 3
-	if ran < len(left)/2 {
+	tb.platform.mu.Unlock()
+	t.Logf("%d of %d calls reached a server; %d requests arrived late, %d calls were processed too long", ran, len(disconnectedAt), late, overdue)
+	const maxLate = 3
+	if ran < len(disconnectedAt)/2 {
 		t.Errorf("only %d calls reached a server, want at least half of them", ran)
 	}
-	if late > few {
+	if late > maxLate {
 		t.Errorf("%d requests reached a server more than %s after their callers had disconnected", late, disconnectBound)
 	}
-	if outlived*4 > ran {
-		t.Errorf("servers processed %d of %d calls more than %s after their callers had disconnected", outlived, ran, disconnectBound)
+	if overdue*4 > ran {
+		t.Errorf("servers processed %d of %d calls more than %s after their callers had disconnected", overdue, ran, disconnectBound)
 	}
-	w.checkResults(t)
+	tb.checkResults(t)
 }
 
 // sendAndDisconnect sends a call, disconnects after up to 150 ms and returns the time of that.
-func (w *testbed) sendAndDisconnect(t *testing.T, rng *rand.Rand, id string, output int) time.Time {
-	conn, err := net.DialTimeout("tcp", w.all.entries[rng.Intn(len(w.all.entries))], dialLimit)
+func (tb *testbed) sendAndDisconnect(t *testing.T, rng *rand.Rand, id string, output int) time.Time {
+	conn, err := net.DialTimeout("tcp", tb.all.entries[rng.Intn(len(tb.all.entries))], dialLimit)
 	if err != nil {
 		t.Error(err)
 		return time.Now()
@@ -126,12 +126,12 @@
 }
 
 // inFlight returns the number of requests that servers are processing.
-func (s *platform) inFlight() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (p *platform) inFlight() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	working := 0
-	for _, p := range s.visits {
-		working += len(p.arrivals) - len(p.completions)
+	for _, v := range p.visits {
+		working += len(v.arrivals) - len(v.completions)
 	}
 	return working
 }
--- a/tests/soak/disruptions_test.go
+++ b/tests/soak/disruptions_test.go
@@ -77,27 +77,27 @@
 
 // recordDisruption records the boxes and servers that a fault affects. A graceful shutdown and
 // a reload must not truncate answers.
-func (w *testbed) recordDisruption(kind string, b *box, sv *server, length time.Duration) {
+func (tb *testbed) recordDisruption(kind string, b *box, sv *server, length time.Duration) {
 	switch kind {
 	case "kill", "pause":
-		w.platform.disruptions.recordFault(b.name, length)
+		tb.platform.disruptions.recordFault(b.name, length)
 	case "kill all":
-		for _, other := range w.boxes {
-			w.platform.disruptions.recordFault(other.name, length)
+		for _, other := range tb.boxes {
+			tb.platform.disruptions.recordFault(other.name, length)
 		}
 	case "delay", "silent", "one way", "reset", "dropped answers":
-		w.platform.disruptions.recordFault(sv.id, length)
+		tb.platform.disruptions.recordFault(sv.id, length)
 	case "mute":
-		for _, other := range w.platform.all() {
-			w.platform.disruptions.recordFault(other.id, muteDuration)
+		for _, other := range tb.platform.all() {
+			tb.platform.disruptions.recordFault(other.id, muteDuration)
 		}
 	}
 }
 
 // killAll kills all boxes and waits for their processes to exit.
-func (w *testbed) killAll() {
-	for _, b := range w.boxes {
-		w.platform.disruptions.recordFault(b.name, 0)
+func (tb *testbed) killAll() {
+	for _, b := range tb.boxes {
+		tb.platform.disruptions.recordFault(b.name, 0)
 		<-b.signal(syscall.SIGKILL)
 	}
 }
--- a/tests/soak/engine_test.go
+++ b/tests/soak/engine_test.go
@@ -80,50 +80,50 @@
 
 // moveRun copies the KV cache of a run, and stops the run after the last copy.
 func (sv *server) moveRun(w http.ResponseWriter, r *http.Request) {
-	var order struct {
+	var command struct {
 		ID   string `json:"id"`
 		Last bool   `json:"last"`
 	}
-	if json.NewDecoder(r.Body).Decode(&order) != nil {
+	if json.NewDecoder(r.Body).Decode(&command) != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
-	running := sv.runs[order.ID]
+	running := sv.runs[command.ID]
 	if running == nil {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	if order.Last {
+	if command.Last {
 		close(running.stopped)
-		delete(sv.runs, order.ID)
-		sv.platform.recordCopy(order.ID)
-		sv.platform.disruptions.recordStop(order.ID)
+		delete(sv.runs, command.ID)
+		sv.platform.recordCopy(command.ID)
+		sv.platform.disruptions.recordStop(command.ID)
 	}
 	status := http.StatusOK
-	if order.Last && sv.rng.Intn(5) == 0 {
+	if command.Last && sv.rng.Intn(5) == 0 {
 		status = http.StatusServiceUnavailable
 	}
 	w.WriteHeader(status)
-	_, _ = fmt.Fprintf(w, `{"handle":%q,"made":%d}`, "h-"+order.ID, running.events)
+	_, _ = fmt.Fprintf(w, `{"handle":%q,"made":%d}`, "h-"+command.ID, running.events)
 }
 
 // recordCopy records the final copy of a stopped run. It can be resumed from once.
-func (s *platform) recordCopy(id string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.copies[id]++
-	s.moved++
+func (p *platform) recordCopy(id string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.copies[id]++
+	p.moved++
 }
 
 // takeCopy consumes a copy of a run and reports whether there was one.
-func (s *platform) takeCopy(id string) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.copies[id] == 0 {
+func (p *platform) takeCopy(id string) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.copies[id] == 0 {
 		return false
 	}
-	s.copies[id]--
+	p.copies[id]--
 	return true
 }
--- a/tests/soak/faulty_test.go
+++ b/tests/soak/faulty_test.go
@@ -234,34 +234,34 @@
 }
 
 // recordFailure records that a server answered a request with an error status.
-func (s *platform) recordFailure(id string, status int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.failures[id] == nil {
-		s.failures[id] = map[int]bool{}
+func (p *platform) recordFailure(id string, status int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.failures[id] == nil {
+		p.failures[id] = map[int]bool{}
 	}
-	s.failures[id][status] = true
+	p.failures[id][status] = true
 }
 
 // hasFailed reports whether a server answered a request with the error status.
-func (s *platform) hasFailed(id string, status int) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.failures[id][status]
+func (p *platform) hasFailed(id string, status int) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.failures[id][status]
 }
 
 // recordTruncation records that a server truncated its answer to a request, or sent an answer that
 // ends with the connection.
-func (s *platform) recordTruncation(id string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.truncated[id] = true
+func (p *platform) recordTruncation(id string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.truncated[id] = true
 }
 
-func (s *platform) wasTruncated(id string) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.truncated[id]
+func (p *platform) wasTruncated(id string) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.truncated[id]
 }
 
 // Guards against bytes in the middle of a stream that are not part of the answer, which
@@ -270,20 +270,20 @@
 // Nothing is killed or disconnected, so only servers truncate answers.
 func TestCallersOfServersWithFaultyAnswers(t *testing.T) {
 	// From this seed on requests include long prompts.
-	w := newTestbed(t, faultyAnswersFrom, 1, 2, 4, 2)
-	for _, sv := range w.platform.all() {
+	tb := newTestbed(t, faultyAnswersFrom, 1, 2, 4, 2)
+	for _, sv := range tb.platform.all() {
 		sv.setFaultyShare(0.2)
 	}
 	stop := make(chan struct{})
-	wg := w.startCallers(stop)
+	wg := tb.startCallers(stop)
 	waitFor(t, fmt.Sprintf("%d runs were stopped to move them", minMoves), func() bool {
-		w.platform.mu.Lock()
-		defer w.platform.mu.Unlock()
-		return w.platform.moved >= minMoves
+		tb.platform.mu.Lock()
+		defer tb.platform.mu.Unlock()
+		return tb.platform.moved >= minMoves
 	})
 	close(stop)
 	wg.Wait()
-	w.checkResults(t)
+	tb.checkResults(t)
 }
 
 // minMoves is how many runs must move during the test, so that the request to resume
--- a/tests/soak/fleet_test.go
+++ b/tests/soak/fleet_test.go
@@ -27,15 +27,15 @@
 func TestMain(m *testing.M) { os.Exit(build(m)) }
 
 func build(m *testing.M) int {
-	folder, err := os.MkdirTemp("", "havenwinch-soak-")
+	dir, err := os.MkdirTemp("", "havenwinch-soak-")
 	if err != nil {
 		panic(err)
 	}
-	defer os.RemoveAll(folder)
-	if out, err := exec.Command("go", "build", "-race", "-o", folder+"/", "havenwinch.dev/havenwinch/cmd/havenwinchd").CombinedOutput(); err != nil {
+	defer os.RemoveAll(dir)
+	if out, err := exec.Command("go", "build", "-race", "-o", dir+"/", "havenwinch.dev/havenwinch/cmd/havenwinchd").CombinedOutput(); err != nil {
 		panic(string(out))
 	}
-	bin = folder
+	bin = dir
 	return m.Run()
 }
 
--- a/tests/soak/limit_test.go
+++ b/tests/soak/limit_test.go
@@ -122,14 +122,14 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := newTestbed(t, 31, 3, 6, 3, 1)
+			tb := newTestbed(t, 31, 3, 6, 3, 1)
 			t.Cleanup(func() {
 				if t.Failed() {
-					w.saveLogs(t, 31)
+					tb.saveLogs(t, 31)
 				}
 			})
-			stop := w.startLoad(t, 18)
-			limited := w.platform.all()[:test.limited]
+			stop := tb.startLoad(t, 18)
+			limited := tb.platform.all()[:test.limited]
 			for _, sv := range limited {
 				sv.announceLimit(test.perSecond)
 			}
@@ -148,13 +148,13 @@
 				}
 			}
 			if test.limited < 3 || test.aboveTraffic {
-				w.checkNoneRefused(t)
+				tb.checkNoneRefused(t)
 			}
 			for _, sv := range limited {
-				w.waitTraffic(t, sv)
+				tb.waitTraffic(t, sv)
 			}
 			stop()
-			w.checkResults(t)
+			tb.checkResults(t)
 		})
 	}
 }
@@ -172,11 +172,11 @@
 // checkLimits checks after all faults that one server of each service, with a rate limit, receives
 // no more requests than allowed: boxes that were killed, paused or disconnected share the
 // limit correctly again.
-func (w *testbed) checkLimits(t *testing.T, rng *rand.Rand) {
+func (tb *testbed) checkLimits(t *testing.T, rng *rand.Rand) {
 	t.Helper()
 	var limited []*server
 	seen := map[string]bool{}
-	all := w.platform.all()
+	all := tb.platform.all()
 	// Only the last server that was started under an id receives calls.
 	slices.Reverse(all)
 	for _, sv := range all {
@@ -212,14 +212,14 @@
 }
 
 // startLoad starts callers that send to all boxes. The returned function stops them.
-func (w *testbed) startLoad(t *testing.T, callers int) (stop func()) {
+func (tb *testbed) startLoad(t *testing.T, callers int) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	for n := range callers {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			w.caller(n).run(ctx.Done())
+			tb.caller(n).run(ctx.Done())
 		}()
 	}
 	stop = func() {
@@ -231,11 +231,11 @@
 }
 
 // checkNoneRefused checks that no call was refused for lack of a target.
-func (w *testbed) checkNoneRefused(t *testing.T) {
+func (tb *testbed) checkNoneRefused(t *testing.T) {
 	t.Helper()
-	w.all.mu.Lock()
-	defer w.all.mu.Unlock()
-	for _, o := range w.all.outcomes {
+	tb.all.mu.Lock()
+	defer tb.all.mu.Unlock()
+	for _, o := range tb.all.outcomes {
 		if o.status == http.StatusServiceUnavailable && !strings.Contains(o.body, "budget") {
 			t.Errorf("request %s (%s) was refused although an engine had capacity: %s", o.id, o.route, o.body)
 			return
@@ -244,7 +244,7 @@
 }
 
 // waitTraffic waits until a server receives its usual traffic after its limit was withdrawn.
-func (w *testbed) waitTraffic(t *testing.T, sv *server) {
+func (tb *testbed) waitTraffic(t *testing.T, sv *server) {
 	t.Helper()
 	// Arrivals are recorded only under a limit, so announce one far above the traffic.
 	const aboveTraffic = 1000
--- a/tests/soak/link_test.go
+++ b/tests/soak/link_test.go
@@ -50,42 +50,42 @@
 	return k, nil
 }
 
-func (k *link) accept() {
+func (l *link) accept() {
 	for {
-		c, err := k.listener.Accept()
+		c, err := l.listener.Accept()
 		if err != nil {
 			return
 		}
-		go k.connect(c)
+		go l.connect(c)
 	}
 }
 
-func (k *link) connect(caller net.Conn) {
-	server, err := net.Dial("tcp", k.target)
+func (l *link) connect(caller net.Conn) {
+	server, err := net.Dial("tcp", l.target)
 	if err != nil {
 		_ = caller.Close()
 		return
 	}
 	muted := &atomic.Bool{}
-	k.mu.Lock()
-	k.conns[caller], k.conns[server] = true, true
-	k.muted[muted] = true
-	k.mu.Unlock()
+	l.mu.Lock()
+	l.conns[caller], l.conns[server] = true, true
+	l.muted[muted] = true
+	l.mu.Unlock()
 	done := make(chan struct{}, 2)
-	go k.forward(server, caller, false, muted, done)
-	go k.forward(caller, server, true, muted, done)
+	go l.forward(server, caller, false, muted, done)
+	go l.forward(caller, server, true, muted, done)
 	<-done
 	_ = caller.Close()
 	_ = server.Close()
 	<-done
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	delete(k.muted, muted)
-	delete(k.conns, caller)
-	delete(k.conns, server)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	delete(l.muted, muted)
+	delete(l.conns, caller)
+	delete(l.conns, server)
 }
 
-func (k *link) forward(to io.Writer, from io.Reader, answers bool, muted *atomic.Bool, done chan<- struct{}) {
+func (l *link) forward(to io.Writer, from io.Reader, answers bool, muted *atomic.Bool, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	buffer := make([]byte, 4096)
 	for {
@@ -96,7 +96,7 @@
 		if muted.Load() {
 			continue
 		}
-		for k.mustWait(answers) {
+		for l.mustWait(answers) {
 			time.Sleep(10 * time.Millisecond)
 		}
 		if _, err := to.Write(buffer[:n]); err != nil {
@@ -106,10 +106,10 @@
 }
 
 // mustWait reports whether bytes must still wait. A delayed link sleeps here once instead.
-func (k *link) mustWait(answers bool) bool {
-	k.mu.Lock()
-	mode := k.mode
-	k.mu.Unlock()
+func (l *link) mustWait(answers bool) bool {
+	l.mu.Lock()
+	mode := l.mode
+	l.mu.Unlock()
 	if mode == linkDelayed {
 		time.Sleep(linkDelay)
 		return false
@@ -117,26 +117,26 @@
 	return mode == linkSilent || mode == linkOneWay && answers
 }
 
-func (k *link) set(mode linkMode) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.mode = mode
+func (l *link) set(mode linkMode) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.mode = mode
 }
 
 // mute permanently stops forwarding on all open connections; new ones are unaffected.
-func (k *link) mute() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for muted := range k.muted {
+func (l *link) mute() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for muted := range l.muted {
 		muted.Store(true)
 	}
 }
 
 // reset closes all open connections with a TCP reset.
-func (k *link) reset() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for c := range k.conns {
+func (l *link) reset() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for c := range l.conns {
 		if tcp, ok := c.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0)
 		}
@@ -144,8 +144,8 @@
 	}
 }
 
-func (k *link) close() {
-	k.set(linkNormal)
-	_ = k.listener.Close()
-	k.reset()
+func (l *link) close() {
+	l.set(linkNormal)
+	_ = l.listener.Close()
+	l.reset()
 }
--- a/tests/soak/path_test.go
+++ b/tests/soak/path_test.go
@@ -27,35 +27,35 @@
 	lastCopy int
 }
 
-func newTestbed(t *testing.T, seed int64, controls, entries, engines, portals int) *testbed {
+func newTestbed(t *testing.T, seed int64, controls, entries, engines, plainServers int) *testbed {
 	t.Helper()
-	return startTestbed(t, newFleet(t, controls, entries), seed, engines, portals)
+	return startTestbed(t, newFleet(t, controls, entries), seed, engines, plainServers)
 }
 
 // startTestbed starts a fleet and its simulated platform, and waits until requests are served.
-func startTestbed(t *testing.T, f *fleet, seed int64, engines, portals int) *testbed {
+func startTestbed(t *testing.T, f *fleet, seed int64, engines, plainServers int) *testbed {
 	t.Helper()
-	w := &testbed{fleet: f}
-	w.startAll(t)
-	w.platform = newPlatform(w.addresses("control", w.ports.registry))
-	t.Cleanup(w.platform.cleanUp)
-	w.all = &callerPool{platform: w.platform, entries: w.addresses("entry", w.ports.caller), names: w.names("entry"), seed: seed}
-	if !w.platform.configure(1, waitLimit) {
+	tb := &testbed{fleet: f}
+	tb.startAll(t)
+	tb.platform = newPlatform(tb.addresses("control", tb.ports.registry))
+	t.Cleanup(tb.platform.cleanUp)
+	tb.all = &callerPool{platform: tb.platform, entries: tb.addresses("entry", tb.ports.caller), names: tb.names("entry"), seed: seed}
+	if !tb.platform.configure(1, waitLimit) {
 		t.Fatal("the first configuration was not acknowledged")
 	}
-	for i := range engines + portals {
+	for i := range engines + plainServers {
 		service := engineService
 		if i >= engines {
 			service = plainService
 		}
-		sv, err := w.platform.startServer(fmt.Sprintf("i-%d", i), service, seed+int64(i))
+		sv, err := tb.platform.startServer(fmt.Sprintf("i-%d", i), service, seed+int64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(sv.stop)
 	}
-	w.ready(t)
-	c := w.caller(1000)
+	tb.ready(t)
+	c := tb.caller(1000)
 	for _, route := range []string{"plain/safe", "stream/resume"} {
 		waitFor(t, route+" is served", func() bool {
 			c.count++
@@ -63,26 +63,26 @@
 			return o.status == http.StatusOK && o.complete
 		})
 	}
-	return w
+	return tb
 }
 
-func (w *testbed) caller(n int) *caller {
-	return &caller{all: w.all, n: n, rng: rand.New(rand.NewSource(w.all.seed + int64(n)))}
+func (tb *testbed) caller(n int) *caller {
+	return &caller{all: tb.all, n: n, rng: rand.New(rand.NewSource(tb.all.seed + int64(n)))}
 }
 
 // checkResults checks the outcomes of all requests and reports every violation as a test error.
-func (w *testbed) checkResults(t *testing.T) {
+func (tb *testbed) checkResults(t *testing.T) {
 	t.Helper()
-	served, refused, failed := w.all.check()
-	w.platform.mu.Lock()
-	defer w.platform.mu.Unlock()
+	served, refused, failed := tb.all.check()
+	tb.platform.mu.Lock()
+	defer tb.platform.mu.Unlock()
 	for tenant, most := range map[string]uint64{"large": prepaid, "small": prepaidSmall} {
-		if w.platform.tokensUsed[tenant] > most {
-			w.platform.violations = append(w.platform.violations, fmt.Sprintf("tenant %s used %d tokens, budget %d", tenant, w.platform.tokensUsed[tenant], most))
+		if tb.platform.tokensUsed[tenant] > most {
+			tb.platform.violations = append(tb.platform.violations, fmt.Sprintf("tenant %s used %d tokens, budget %d", tenant, tb.platform.tokensUsed[tenant], most))
 		}
 	}
-	t.Logf("served %d, refused %d, failed %d; tokens used %v", served, refused, failed, w.platform.tokensUsed)
-	for _, b := range append(w.platform.violations, w.unexpectedExits()...) {
+	t.Logf("served %d, refused %d, failed %d; tokens used %v", served, refused, failed, tb.platform.tokensUsed)
+	for _, b := range append(tb.platform.violations, tb.unexpectedExits()...) {
 		t.Error(b)
 	}
 }
@@ -90,13 +90,13 @@
 // TestRequestPath covers a request of each kind, an exhausted budget, a graceful shutdown
 // during a stream and a restart of all processes.
 func TestRequestPath(t *testing.T) {
-	w := newTestbed(t, 1, 3, 2, 2, 2)
-	c := w.caller(0)
+	tb := newTestbed(t, 1, 3, 2, 2, 2)
+	c := tb.caller(0)
 	for i, route := range []string{"plain/safe", "plain/unsafe", "stream/resume", "stream/once"} {
 		o := c.send(fmt.Sprintf("path-%d", i), route, "key-large")
-		w.all.record(o)
+		tb.all.record(o)
 		if o.status != http.StatusOK || !o.complete {
-			t.Fatalf("%s: status %d, whole %v: %s", route, o.status, o.complete, o.body)
+			t.Fatalf("%s: status %d, complete %v: %s", route, o.status, o.complete, o.body)
 		}
 	}
 	if o := c.send("wrong-key", "plain/safe", "none"); o.status != http.StatusUnauthorized {
@@ -105,36 +105,36 @@
 	if o := c.send("wrong-route", "none", "key-large"); o.status != http.StatusNotFound {
 		t.Fatalf("an unknown route got %d", o.status)
 	}
-	w.exhaustBudget(t, c)
-	w.stopDuringStream(t)
-	w.restartAll(t)
-	w.checkResults(t)
+	tb.exhaustBudget(t, c)
+	tb.stopDuringStream(t)
+	tb.restartAll(t)
+	tb.checkResults(t)
 }
 
 // exhaustBudget spends the small budget until it is refused as exhausted. While the rest is
 // split between leases, requests may be refused with Retry-After; the budget is never
 // overspent.
-func (w *testbed) exhaustBudget(t *testing.T, c *caller) {
+func (tb *testbed) exhaustBudget(t *testing.T, c *caller) {
 	t.Helper()
 	n := 0
 	waitFor(t, "the small budget is refused as exhausted", func() bool {
 		n++
 		o := c.send(fmt.Sprintf("dry-%d", n), "stream/once", "key-small")
-		w.all.record(o)
+		tb.all.record(o)
 		return o.status == http.StatusPaymentRequired
 	})
-	w.platform.mu.Lock()
-	defer w.platform.mu.Unlock()
-	if used := w.platform.tokensUsed["small"]; used < prepaidSmall*8/10 {
+	tb.platform.mu.Lock()
+	defer tb.platform.mu.Unlock()
+	if used := tb.platform.tokensUsed["small"]; used < prepaidSmall*8/10 {
 		t.Fatalf("refused as exhausted after %d of %d tokens", used, prepaidSmall)
 	}
 }
 
 // stopDuringStream shuts an entry box down during a stream, which has to complete.
-func (w *testbed) stopDuringStream(t *testing.T) {
+func (tb *testbed) stopDuringStream(t *testing.T) {
 	t.Helper()
-	entry := w.withRole("entry")[0]
-	conn, err := net.Dial("tcp", w.address(entry, w.ports.caller))
+	entry := tb.withRole("entry")[0]
+	conn, err := net.Dial("tcp", tb.address(entry, tb.ports.caller))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -160,30 +160,30 @@
 	if err := entry.start(); err != nil {
 		t.Fatal(err)
 	}
-	w.ready(t)
+	tb.ready(t)
 }
 
 // restartAll kills all processes and restarts them with the data that they have stored.
-func (w *testbed) restartAll(t *testing.T) {
+func (tb *testbed) restartAll(t *testing.T) {
 	t.Helper()
-	if !w.platform.configure(7, waitLimit) {
+	if !tb.platform.configure(7, waitLimit) {
 		t.Fatal("a configuration was not acknowledged")
 	}
-	w.killAll()
-	w.startAll(t)
+	tb.killAll()
+	tb.startAll(t)
 	waitFor(t, "the configuration survives the restart", func() bool {
-		version := readVersion(w.platform.control[0])
+		version := readVersion(tb.platform.control[0])
 		if version != 0 && version < 7 {
 			t.Fatalf("configuration version %d after the restart, want 7", version)
 		}
 		return version == 7
 	})
-	w.ready(t)
-	c := w.caller(2)
+	tb.ready(t)
+	c := tb.caller(2)
 	waitFor(t, "requests are served again", func() bool {
 		c.count++
 		o := c.send(fmt.Sprintf("again-%d", c.count), "stream/resume", "key-large")
-		w.all.record(o)
+		tb.all.record(o)
 		return o.status == http.StatusOK && o.complete
 	})
 }
@@ -191,26 +191,26 @@
 // TestCausesFromLogs checks for three kinds of failed requests that the cause can be found
 // from the request id and the logs alone: see docs/OPERATIONS.md.
 func TestCausesFromLogs(t *testing.T) {
-	w := newTestbed(t, 2, 1, 1, 1, 1)
-	c := w.caller(0)
+	tb := newTestbed(t, 2, 1, 1, 1, 1)
+	c := tb.caller(0)
 	for i := range 200 {
 		o := c.send(fmt.Sprintf("spend-%d", i), "stream/once", "key-small")
-		w.all.record(o)
+		tb.all.record(o)
 		if o.status == http.StatusPaymentRequired {
 			break
 		}
 	}
-	w.all.record(c.send("refused", "stream/once", "key-small"))
-	for _, sv := range w.platform.servers {
+	tb.all.record(c.send("refused", "stream/once", "key-small"))
+	for _, sv := range tb.platform.servers {
 		sv.mu.Lock()
 		sv.failShare = 1
 		sv.mu.Unlock()
 	}
-	w.all.record(c.send("no-answer", "plain/unsafe", "key-large"))
-	w.platform.servers[0].mu.Lock()
-	w.platform.servers[0].failShare = 0
-	w.platform.servers[0].mu.Unlock()
-	w.breakStream(t)
+	tb.all.record(c.send("no-answer", "plain/unsafe", "key-large"))
+	tb.platform.servers[0].mu.Lock()
+	tb.platform.servers[0].failShare = 0
+	tb.platform.servers[0].mu.Unlock()
+	tb.breakStream(t)
 	cases := map[string]struct{ outcome, needs string }{
 		"refused":   {outcome: "budget_exhausted", needs: "budget_left"},
 		"no-answer": {outcome: "target_failed", needs: "no answer"},
@@ -218,17 +218,17 @@
 	}
 	for id, want := range cases {
 		waitFor(t, "the cause of request "+id+" is in the logs", func() bool {
-			line := requestLogLine(w.withRole("entry")[0].logText(), id)
+			line := requestLogLine(tb.withRole("entry")[0].logText(), id)
 			return line["outcome"] == want.outcome && strings.Contains(fmt.Sprint(line), want.needs) && line["table_version"] != nil
 		})
 	}
-	w.checkResults(t)
+	tb.checkResults(t)
 }
 
 // breakStream resets the connection to the server during a stream.
-func (w *testbed) breakStream(t *testing.T) {
+func (tb *testbed) breakStream(t *testing.T) {
 	t.Helper()
-	conn, err := net.Dial("tcp", w.address(w.withRole("entry")[0], w.ports.caller))
+	conn, err := net.Dial("tcp", tb.address(tb.withRole("entry")[0], tb.ports.caller))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -238,7 +238,7 @@
 	if _, err := http.ReadResponse(r, nil); err != nil {
 		t.Fatal(err)
 	}
-	w.platform.servers[0].link.reset()
+	tb.platform.servers[0].link.reset()
 	for err == nil {
 		_, err = r.ReadByte()
 	}
--- a/tests/soak/platform_test.go
+++ b/tests/soak/platform_test.go
@@ -59,16 +59,16 @@
 }
 
 // addCleanup registers a function to call at the end of the test.
-func (s *platform) addCleanup(do func()) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.cleanups = append(s.cleanups, do)
+func (p *platform) addCleanup(do func()) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.cleanups = append(p.cleanups, do)
 }
 
-func (s *platform) cleanUp() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, do := range s.cleanups {
+func (p *platform) cleanUp() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, do := range p.cleanups {
 		do()
 	}
 }
@@ -77,34 +77,34 @@
 	return &platform{control: control, runs: map[string]int{}, tokensUsed: map[string]uint64{}, promptCounted: map[string]bool{}, crashes: map[string]int{}, visits: map[string]*visits{}, failures: map[string]map[int]bool{}, truncated: map[string]bool{}, copies: map[string]int{}, disruptions: newDisruptions()}
 }
 
-// violation records a violation, which fails the test at its end.
-func (s *platform) violation(format string, args ...any) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.violations = append(s.violations, fmt.Sprintf(format, args...))
+// recordViolation records a violation, which fails the test at its end.
+func (p *platform) recordViolation(format string, args ...any) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.violations = append(p.violations, fmt.Sprintf(format, args...))
 }
 
-func (s *platform) runCount(id string) int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.runs[id]
+func (p *platform) runCount(id string) int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.runs[id]
 }
 
 // recordRun records that a server executes a request. The prompt counts once per request.
-func (s *platform) recordRun(id, tenant string, prompt uint64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.runs[id]++
-	if !s.promptCounted[id] {
-		s.promptCounted[id] = true
-		s.tokensUsed[tenant] += prompt
+func (p *platform) recordRun(id, tenant string, prompt uint64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.runs[id]++
+	if !p.promptCounted[id] {
+		p.promptCounted[id] = true
+		p.tokensUsed[tenant] += prompt
 	}
 }
 
-func (s *platform) recordTokens(tenant string, tokens uint64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.tokensUsed[tenant] += tokens
+func (p *platform) recordTokens(tenant string, tokens uint64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.tokensUsed[tenant] += tokens
 }
 
 const (
@@ -148,21 +148,21 @@
 }
 
 // all returns all servers started so far, including those that have stopped.
-func (s *platform) all() []*server {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return slices.Clone(s.servers)
+func (p *platform) all() []*server {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return slices.Clone(p.servers)
 }
 
 // newServerID returns a server id that has not been used before.
-func (s *platform) newServerID() string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.lastNewID++
-	return fmt.Sprintf("i-new-%d", s.lastNewID)
+func (p *platform) newServerID() string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.lastNewID++
+	return fmt.Sprintf("i-new-%d", p.lastNewID)
 }
 
-func (s *platform) startServer(id, service string, seed int64) (*server, error) {
+func (p *platform) startServer(id, service string, seed int64) (*server, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -171,13 +171,13 @@
 	if err != nil {
 		return nil, err
 	}
-	sv := &server{platform: s, id: id, service: service, link: proxy, state: "ready", startedAt: time.Now().UnixMilli(), rng: rand.New(rand.NewSource(seed)), quit: make(chan struct{}), runs: map[string]*run{}}
+	sv := &server{platform: p, id: id, service: service, link: proxy, state: "ready", startedAt: time.Now().UnixMilli(), rng: rand.New(rand.NewSource(seed)), quit: make(chan struct{}), runs: map[string]*run{}}
 	sv.http = &http.Server{Handler: sv, ConnContext: withConn}
 	go func() { _ = sv.http.Serve(repeatingListener{l}) }()
 	go sv.sendHeartbeats()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.servers = append(s.servers, sv)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.servers = append(p.servers, sv)
 	return sv, nil
 }
 
@@ -266,17 +266,17 @@
 	sv.recordLimited(w.Header())
 	sv.mu.Unlock()
 	if !left.IsZero() && time.Since(left) > drainBound {
-		sv.platform.violation("server %s received request %s %s after control had acknowledged that it is draining", sv.id, id, time.Since(left))
+		sv.platform.recordViolation("server %s received request %s %s after control had acknowledged that it is draining", sv.id, id, time.Since(left))
 	}
 	if r.Header.Get("Api-Key") != "" || r.Header.Get("Tenant") == "" {
-		sv.platform.violation("server %s received API key %q and tenant %q with request %s", sv.id, r.Header.Get("Api-Key"), r.Header.Get("Tenant"), id)
+		sv.platform.recordViolation("server %s received API key %q and tenant %q with request %s", sv.id, r.Header.Get("Api-Key"), r.Header.Get("Tenant"), id)
 	}
 	sv.platform.disruptions.recordWorker(id, sv.id)
 	if strings.HasPrefix(string(body), crashBody) {
 		sv.crashDuring(w, r, string(body))
 	}
 	if want := "body of " + id; string(body) != want {
-		sv.platform.violation("request %s arrived with an unexpected body %q", id, body)
+		sv.platform.recordViolation("request %s arrived with an unexpected body %q", id, body)
 	}
 	sv.platform.recordArrival(id)
 	defer sv.platform.recordCompletion(id)
@@ -395,14 +395,14 @@
 
 // configure sends a configuration to the control boxes in turn until one acknowledges it.
 // It reports whether that happened within the limit.
-func (s *platform) configure(version uint64, limit time.Duration, keys ...string) bool {
+func (p *platform) configure(version uint64, limit time.Duration, keys ...string) bool {
 	body := configuration(version, keys...)
 	for deadline := time.Now().Add(limit); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
-		for _, address := range s.control {
+		for _, address := range p.control {
 			if status, _ := put("http://"+address+"/api/configuration", body); status == http.StatusOK {
-				s.mu.Lock()
-				s.ackedVersion = max(s.ackedVersion, version)
-				s.mu.Unlock()
+				p.mu.Lock()
+				p.ackedVersion = max(p.ackedVersion, version)
+				p.mu.Unlock()
 				return true
 			}
 		}
@@ -428,13 +428,13 @@
 
 // checkReads checks that no control box returns a version older than one that was
 // acknowledged before the read.
-func (s *platform) checkReads() {
-	for _, address := range s.control {
-		s.mu.Lock()
-		acked := s.ackedVersion
-		s.mu.Unlock()
+func (p *platform) checkReads() {
+	for _, address := range p.control {
+		p.mu.Lock()
+		acked := p.ackedVersion
+		p.mu.Unlock()
 		if version := readVersion(address); version != 0 && version < acked {
-			s.violation("%s returned configuration version %d after version %d was acknowledged", address, version, acked)
+			p.recordViolation("%s returned configuration version %d after version %d was acknowledged", address, version, acked)
 		}
 	}
 }
--- a/tests/soak/soak_test.go
+++ b/tests/soak/soak_test.go
@@ -70,74 +70,74 @@
 	if seed%largeEvery == largeEvery-1 {
 		entries = largeEntries
 	}
-	w := newTestbed(t, seed, controls, entries, 3, 2)
+	tb := newTestbed(t, seed, controls, entries, 3, 2)
 	t.Cleanup(func() {
 		if t.Failed() {
-			w.saveLogs(t, seed)
+			tb.saveLogs(t, seed)
 		}
 	})
 	stop := make(chan struct{})
-	wg := w.startCallers(stop)
+	wg := tb.startCallers(stop)
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
-		w.changeConfiguration(stop, rand.New(rand.NewSource(seed+1)))
+		tb.changeConfiguration(stop, rand.New(rand.NewSource(seed+1)))
 	}()
-	fatal := make(chan string, 1)
-	go func() { fatal <- w.repeatCrashingCall(stop, rand.New(rand.NewSource(seed+2))) }()
+	crashingBody := make(chan string, 1)
+	go func() { crashingBody <- tb.repeatCrashingCall(stop, rand.New(rand.NewSource(seed+2))) }()
 	for end := time.Now().Add(length); time.Now().Before(end); time.Sleep(time.Duration(100+rng.Intn(500)) * time.Millisecond) {
-		w.injectFault(t, rng)
+		tb.injectFault(t, rng)
 	}
-	w.endFaults(t)
-	c := w.caller(5000)
+	tb.endFaults(t)
+	c := tb.caller(5000)
 	for _, route := range []string{"plain/unsafe", "stream/resume"} {
 		waitFor(t, "after all faults "+route+" is served", func() bool {
 			c.count++
-			o := c.send(fmt.Sprintf("healed-%s-%d", route[:5], c.count), route, "key-large")
-			w.all.record(o)
+			o := c.send(fmt.Sprintf("recovered-%s-%d", route[:5], c.count), route, "key-large")
+			tb.all.record(o)
 			return o.status == 200 && o.complete
 		})
 	}
 	if seed >= limitKindsFrom {
-		w.checkLimits(t, rng)
+		tb.checkLimits(t, rng)
 	}
 	close(stop)
 	wg.Wait()
-	crashed := w.platform.crashCount(<-fatal)
+	crashed := tb.platform.crashCount(<-crashingBody)
 	t.Logf("the repeated call crashed %d servers", crashed)
 	if crashed > maxCrashesUnderFaults {
 		t.Errorf("one call crashed %d servers, want at most %d", crashed, maxCrashesUnderFaults)
 	}
-	w.platform.mu.Lock()
-	t.Logf("%d runs were stopped to move them", w.platform.moved)
-	w.platform.mu.Unlock()
-	w.platform.checkReads()
-	w.checkResults(t)
+	tb.platform.mu.Lock()
+	t.Logf("%d runs were stopped to move them", tb.platform.moved)
+	tb.platform.mu.Unlock()
+	tb.platform.checkReads()
+	tb.checkResults(t)
 }
 
 // startCallers starts callers that send requests until stop is closed.
-func (w *testbed) startCallers(stop <-chan struct{}) *sync.WaitGroup {
+func (tb *testbed) startCallers(stop <-chan struct{}) *sync.WaitGroup {
 	wg := &sync.WaitGroup{}
 	for n := range soakCallers {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			w.caller(n).run(stop)
+			tb.caller(n).run(stop)
 		}()
 	}
 	return wg
 }
 
 // changeConfiguration repeatedly changes the configuration and reads it back until stop is closed.
-func (w *testbed) changeConfiguration(stop <-chan struct{}, rng *rand.Rand) {
+func (tb *testbed) changeConfiguration(stop <-chan struct{}, rng *rand.Rand) {
 	for version := uint64(10); ; version += uint64(1 + rng.Intn(3)) {
 		select {
 		case <-stop:
 			return
 		case <-time.After(time.Duration(100+rng.Intn(600)) * time.Millisecond):
 		}
-		w.platform.configure(version, 2*time.Second, fmt.Sprint("key-", version))
-		w.platform.checkReads()
+		tb.platform.configure(version, 2*time.Second, fmt.Sprint("key-", version))
+		tb.platform.checkReads()
 	}
 }
 
@@ -156,25 +156,25 @@
 )
 
 // injectFault injects one random fault. Faults may overlap.
-func (w *testbed) injectFault(t *testing.T, rng *rand.Rand) {
-	b := w.boxes[rng.Intn(len(w.boxes))]
-	w.platform.mu.Lock()
-	sv := w.platform.servers[rng.Intn(len(w.platform.servers))]
-	w.platform.mu.Unlock()
+func (tb *testbed) injectFault(t *testing.T, rng *rand.Rand) {
+	b := tb.boxes[rng.Intn(len(tb.boxes))]
+	tb.platform.mu.Lock()
+	sv := tb.platform.servers[rng.Intn(len(tb.platform.servers))]
+	tb.platform.mu.Unlock()
 	duration := time.Duration(200+rng.Intn(1800)) * time.Millisecond
 	afterwards := func(do func()) { time.AfterFunc(duration, do) }
 	kinds := faultKinds
 	switch {
-	case w.all.seed < crashKindsFrom:
+	case tb.all.seed < crashKindsFrom:
 		kinds = faultKinds[:kindsBefore7000]
-	case w.all.seed < limitKindsFrom:
+	case tb.all.seed < limitKindsFrom:
 		kinds = faultKinds[:kindsBefore8000]
-	case w.all.seed < faultyAnswersFrom:
+	case tb.all.seed < faultyAnswersFrom:
 		kinds = faultKinds[:kindsBefore9000]
 	}
 	kind := kinds[rng.Intn(len(kinds))]
 	t.Logf("%s on %s and %s for %s", kind, b.name, sv.id, duration)
-	w.recordDisruption(kind, b, sv, duration)
+	tb.recordDisruption(kind, b, sv, duration)
 	switch kind {
 	case "kill":
 		b.signal(syscall.SIGKILL)
@@ -191,16 +191,16 @@
 		b.signal(syscall.SIGSTOP)
 		afterwards(func() { b.signal(syscall.SIGCONT) })
 	case "kill all":
-		for _, other := range w.boxes {
+		for _, other := range tb.boxes {
 			other.signal(syscall.SIGKILL)
 		}
 		afterwards(func() {
-			for _, other := range w.boxes {
+			for _, other := range tb.boxes {
 				_ = other.start()
 			}
 		})
 	case "wipe disk":
-		w.wipeDisk(rng)
+		tb.wipeDisk(rng)
 	case "delay":
 		sv.link.set(linkDelayed)
 		afterwards(func() { sv.link.set(linkNormal) })
@@ -213,26 +213,26 @@
 	case "reset":
 		sv.link.reset()
 	case "replace server":
-		w.replaceServer(t, rng)
+		tb.replaceServer(t, rng)
 	case "rate limit":
 		sv.announceLimit(limitsDuringFaults[rng.Intn(len(limitsDuringFaults))])
 		afterwards(sv.withdrawLimit)
 	case "mute":
-		for _, other := range w.platform.all() {
+		for _, other := range tb.platform.all() {
 			other.link.mute()
 		}
 	case "crash":
 		id := sv.id
 		if rng.Intn(2) == 0 {
-			id = w.platform.newServerID()
+			id = tb.platform.newServerID()
 		}
 		sv.crash(id)
 	case "faulty answers":
-		for _, other := range w.platform.all() {
+		for _, other := range tb.platform.all() {
 			other.setFaultyShare(0.3)
 		}
 		afterwards(func() {
-			for _, other := range w.platform.all() {
+			for _, other := range tb.platform.all() {
 				other.setFaultyShare(0)
 			}
 		})
@@ -254,18 +254,18 @@
 }
 
 // replaceServer starts a new server and drains one of the others.
-func (w *testbed) replaceServer(t *testing.T, rng *rand.Rand) {
-	w.platform.mu.Lock()
-	count := len(w.platform.servers)
-	old := w.platform.servers[rng.Intn(count)]
-	w.platform.mu.Unlock()
-	replacement, err := w.platform.startServer(fmt.Sprintf("i-%d", count), old.service, w.all.seed+int64(count))
+func (tb *testbed) replaceServer(t *testing.T, rng *rand.Rand) {
+	tb.platform.mu.Lock()
+	count := len(tb.platform.servers)
+	old := tb.platform.servers[rng.Intn(count)]
+	tb.platform.mu.Unlock()
+	replacement, err := tb.platform.startServer(fmt.Sprintf("i-%d", count), old.service, tb.all.seed+int64(count))
 	if err != nil {
 		t.Error(err)
 		return
 	}
 	t.Cleanup(replacement.stop)
-	w.platform.disruptions.recordFault(old.id, drainBound)
+	tb.platform.disruptions.recordFault(old.id, drainBound)
 	old.drain()
 }
 
@@ -277,8 +277,8 @@
 
 // wipeDisk kills the first control box, deletes its data and restarts it. It is always the same
 // box, so that never more disks are lost at once than tolerated.
-func (w *testbed) wipeDisk(rng *rand.Rand) {
-	b := w.withRole("control")[0]
+func (tb *testbed) wipeDisk(rng *rand.Rand) {
+	b := tb.withRole("control")[0]
 	<-b.signal(syscall.SIGKILL)
 	_ = os.RemoveAll(b.dir)
 	time.Sleep(time.Duration(rng.Intn(200)) * time.Millisecond)
@@ -286,20 +286,20 @@
 }
 
 // endFaults ends all faults and waits until all processes run and the entry boxes are ready.
-func (w *testbed) endFaults(t *testing.T) {
+func (tb *testbed) endFaults(t *testing.T) {
 	t.Helper()
-	for _, sv := range w.platform.all() {
+	for _, sv := range tb.platform.all() {
 		sv.link.set(linkNormal)
 		sv.setFailShare(0)
 		sv.setFaultyShare(0)
 		sv.withdrawLimit()
 	}
-	for _, b := range w.boxes {
+	for _, b := range tb.boxes {
 		b.signal(syscall.SIGCONT)
 	}
 	waitFor(t, "all processes run", func() bool {
 		running := true
-		for _, b := range w.boxes {
+		for _, b := range tb.boxes {
 			if err := b.start(); err != nil {
 				t.Fatal(err)
 			}
@@ -310,22 +310,22 @@
 		}
 		return running
 	})
-	w.ready(t)
+	tb.ready(t)
 }
 
 // saveLogs saves the logs of a failed run, so that a failure that does not recur can be
 // investigated: completely in the directory SOAK_LOGS, if it is set, and the last lines
 // that are not about requests in the test output.
-func (w *testbed) saveLogs(t *testing.T, seed int64) {
-	for _, b := range w.boxes {
+func (tb *testbed) saveLogs(t *testing.T, seed int64) {
+	for _, b := range tb.boxes {
 		t.Logf("%s, end of the log without requests:\n%s", b.name, logTail(withoutRequests(b.logText())))
 	}
-	folder := os.Getenv("SOAK_LOGS")
-	if folder == "" {
+	dir := os.Getenv("SOAK_LOGS")
+	if dir == "" {
 		return
 	}
-	for _, b := range w.boxes {
-		path := filepath.Join(folder, fmt.Sprintf("seed-%d-%s.log", seed, b.name))
+	for _, b := range tb.boxes {
+		path := filepath.Join(dir, fmt.Sprintf("seed-%d-%s.log", seed, b.name))
 		if err := os.WriteFile(path, []byte(b.logText()), 0o600); err != nil {
 			t.Log(err)
 		}
--- a/tests/soak/versions_test.go
+++ b/tests/soak/versions_test.go
@@ -14,16 +14,16 @@
 // earlierBin returns the directory with the daemon of an earlier version, which
 // HAVENWINCH_EARLIER_BIN sets. Without it the current version takes both roles.
 func earlierBin() string {
-	if folder := os.Getenv("HAVENWINCH_EARLIER_BIN"); folder != "" {
-		return folder
+	if dir := os.Getenv("HAVENWINCH_EARLIER_BIN"); dir != "" {
+		return dir
 	}
 	return bin
 }
 
 // useBinary sets the directory of the binary that boxes run from their next start on.
-func useBinary(folder string, boxes ...*box) {
+func useBinary(dir string, boxes ...*box) {
 	for _, b := range boxes {
-		b.bin = folder
+		b.bin = dir
 	}
 }
 
@@ -46,39 +46,39 @@
 	const body, route = crashBody + " before the upgrade", "plain/unsafe"
 	f := newFleet(t, 3, 2)
 	useBinary(earlierBin(), f.boxes...)
-	w := startTestbed(t, f, 31, 2, 3)
-	c := w.caller(0)
-	w.exhaustBudget(t, c)
-	if !w.platform.configure(2, waitLimit, "key-of-version-2") {
+	tb := startTestbed(t, f, 31, 2, 3)
+	c := tb.caller(0)
+	tb.exhaustBudget(t, c)
+	if !tb.platform.configure(2, waitLimit, "key-of-version-2") {
 		t.Fatal("the configuration was not acknowledged")
 	}
-	w.waitQuarantined(t, route, body)
-	crashed := w.platform.crashCount(body)
-	w.killAll()
+	tb.waitQuarantined(t, route, body)
+	crashed := tb.platform.crashCount(body)
+	tb.killAll()
 	useBinary(bin, f.boxes...)
-	w.startAll(t)
-	for _, address := range w.platform.control {
+	tb.startAll(t)
+	for _, address := range tb.platform.control {
 		waitFor(t, address+" has the configuration of the earlier version", func() bool { return readVersion(address) == 2 })
 	}
-	w.ready(t)
-	w.waitKeyServed(t, "key-of-version-2")
-	w.waitQuarantined(t, route, body)
-	if after := w.platform.crashCount(body); after != crashed {
+	tb.ready(t)
+	tb.waitKeyServed(t, "key-of-version-2")
+	tb.waitQuarantined(t, route, body)
+	if after := tb.platform.crashCount(body); after != crashed {
 		t.Errorf("the quarantined call crashed %d more servers after the upgrade", after-crashed)
 	}
 	waitFor(t, "the small budget is refused as exhausted after the upgrade", func() bool {
 		c.count++
 		o := c.send(fmt.Sprintf("exhausted-%d", c.count), "stream/once", "key-small")
-		w.all.record(o)
+		tb.all.record(o)
 		return o.status == http.StatusPaymentRequired
 	})
-	if !w.platform.configure(3, waitLimit) {
+	if !tb.platform.configure(3, waitLimit) {
 		t.Fatal("a configuration was not acknowledged after the upgrade")
 	}
-	for _, address := range w.platform.control {
+	for _, address := range tb.platform.control {
 		waitFor(t, address+" has the new configuration", func() bool { return readVersion(address) == 3 })
 	}
-	w.checkResults(t)
+	tb.checkResults(t)
 }
 
 // TestVersionsSideBySide guards against incompatible versions in one fleet: configurations
@@ -96,25 +96,25 @@
 			for _, box := range earlier {
 				useBinary(earlierBin(), f.boxNamed(t, box))
 			}
-			w := startTestbed(t, f, 32, 2, 4)
-			for i, control := range w.platform.control {
+			tb := startTestbed(t, f, 32, 2, 4)
+			for i, control := range tb.platform.control {
 				key := fmt.Sprintf("key-sent-to-control-%d", i+1)
-				w.configureAt(t, control, uint64(2+i), key)
-				w.waitKeyServed(t, key)
+				tb.configureAt(t, control, uint64(2+i), key)
+				tb.waitKeyServed(t, key)
 			}
-			for i, reporter := range w.withRole("entry") {
-				w.checkReportReaches(t, i, reporter, w.withRole("entry")[1-i])
+			for i, reporter := range tb.withRole("entry") {
+				tb.checkReportReaches(t, i, reporter, tb.withRole("entry")[1-i])
 			}
-			for _, b := range w.withRole("control") {
+			for _, b := range tb.withRole("control") {
 				t.Logf("%s has led: %v", b.name, strings.Contains(b.logText(), `"msg":"leads the control group"`))
 			}
-			w.checkResults(t)
+			tb.checkResults(t)
 		})
 	}
 }
 
 // configureAt sends a configuration to one control box until it is acknowledged.
-func (w *testbed) configureAt(t *testing.T, control string, version uint64, keys ...string) {
+func (tb *testbed) configureAt(t *testing.T, control string, version uint64, keys ...string) {
 	t.Helper()
 	waitFor(t, fmt.Sprintf("version %d is acknowledged by %s", version, control), func() bool {
 		status, _ := put("http://"+control+"/api/configuration", configuration(version, keys...))
@@ -123,20 +123,20 @@
 }
 
 // callerAt returns a caller of one entry box only.
-func (w *testbed) callerAt(n int, b *box) *caller {
-	c := w.caller(n)
-	c.all = &callerPool{platform: w.platform, entries: []string{w.address(b, w.ports.caller)}, names: []string{b.name}, seed: w.all.seed}
+func (tb *testbed) callerAt(n int, b *box) *caller {
+	c := tb.caller(n)
+	c.all = &callerPool{platform: tb.platform, entries: []string{tb.address(b, tb.ports.caller)}, names: []string{b.name}, seed: tb.all.seed}
 	return c
 }
 
 // waitKeyServed waits until every entry box accepts an API key.
-func (w *testbed) waitKeyServed(t *testing.T, key string) {
+func (tb *testbed) waitKeyServed(t *testing.T, key string) {
 	t.Helper()
-	for i, b := range w.withRole("entry") {
-		c := w.callerAt(4000+i, b)
+	for i, b := range tb.withRole("entry") {
+		c := tb.callerAt(4000+i, b)
 		waitFor(t, b.name+" serves "+key, func() bool {
-			w.lastCopy++
-			o := c.send(fmt.Sprintf("%s-%d", key, w.lastCopy), "plain/safe", key)
+			tb.lastCopy++
+			o := c.send(fmt.Sprintf("%s-%d", key, tb.lastCopy), "plain/safe", key)
 			return o.status == http.StatusOK && o.complete
 		})
 		c.disconnect()
@@ -145,14 +145,14 @@
 
 // checkReportReaches sends a call that crashes servers to one entry box only, and checks that
 // the other one refuses it on the first attempt.
-func (w *testbed) checkReportReaches(t *testing.T, n int, reporter, other *box) {
+func (tb *testbed) checkReportReaches(t *testing.T, n int, reporter, other *box) {
 	t.Helper()
 	body := fmt.Sprint(crashBody, " at ", reporter.name)
 	ask := func(b *box) outcome {
-		c := w.callerAt(5000+n, b)
+		c := tb.callerAt(5000+n, b)
 		defer c.disconnect()
-		w.lastCopy++
-		return c.sendBody(fmt.Sprintf("side-%d", w.lastCopy), "plain/unsafe", "key-large", body)
+		tb.lastCopy++
+		return c.sendBody(fmt.Sprintf("side-%d", tb.lastCopy), "plain/unsafe", "key-large", body)
 	}
 	isHeldBack := func(o outcome) bool {
 		return o.status == http.StatusServiceUnavailable && strings.Contains(o.body, quarantinedKind)
@@ -160,8 +160,8 @@
 	waitFor(t, reporter.name+" quarantines the call", func() bool { return isHeldBack(ask(reporter)) })
 	listed := fmt.Sprintf(`"held_back":%d`, n+1)
 	waitFor(t, other.name+" has the quarantine list from control", func() bool { return strings.Contains(other.logText(), listed) })
-	crashed := w.platform.crashCount(body)
-	if o := ask(other); !isHeldBack(o) || w.platform.crashCount(body) != crashed {
-		t.Errorf("%s answered with status %d to the call that %s had reported, %s; crashed servers: %d before, %d after", other.name, o.status, reporter.name, o.body, crashed, w.platform.crashCount(body))
+	crashed := tb.platform.crashCount(body)
+	if o := ask(other); !isHeldBack(o) || tb.platform.crashCount(body) != crashed {
+		t.Errorf("%s answered with status %d to the call that %s had reported, %s; crashed servers: %d before, %d after", other.name, o.status, reporter.name, o.body, crashed, tb.platform.crashCount(body))
 	}
 }
