--- a/tests/fleet/fleet.go
+++ b/tests/fleet/fleet.go
@@ -53,11 +53,11 @@
 	Caller  string
 	Admin   string
 	Between string
-	// IP is the loopback address of the box; Via is the address of the relay through
+	// IP is the loopback address of the box; Relay is the address of the relay through
 	// which other boxes connect to Between.
-	IP     string
-	Via    string
-	Folder string
+	IP    string
+	Relay string
+	Dir   string
 
 	mu sync.Mutex
 	// cmd is the process started last; nil before the first start.
@@ -71,7 +71,7 @@
 // Fleet is a set of boxes that are configured to form one system.
 type Fleet struct {
 	Bin      string
-	Folder   string
+	Dir      string
 	Platform string
 	Boxes    map[string]*Box
 	Network  *Network
@@ -79,8 +79,8 @@
 }
 
 // New prepares a fleet in an existing directory and starts its relays, but no box.
-func New(bin, folder, platform string, specs []BoxSpec) (*Fleet, error) {
-	f := &Fleet{Bin: bin, Folder: folder, Platform: platform, Boxes: map[string]*Box{}, Network: NewNetwork()}
+func New(bin, dir, platform string, specs []BoxSpec) (*Fleet, error) {
+	f := &Fleet{Bin: bin, Dir: dir, Platform: platform, Boxes: map[string]*Box{}, Network: NewNetwork()}
 	if err := os.WriteFile(f.secretFile(), []byte(secretText), privateMode); err != nil {
 		return nil, errors.WithStack(err)
 	}
@@ -135,8 +135,8 @@
 	if err != nil {
 		return err
 	}
-	b := &Box{Spec: spec, Caller: addresses[0], Admin: addresses[1], Between: addresses[2], IP: ip, Folder: filepath.Join(f.Folder, spec.Name)}
-	b.Via = relay.Addr().String()
+	b := &Box{Spec: spec, Caller: addresses[0], Admin: addresses[1], Between: addresses[2], IP: ip, Dir: filepath.Join(f.Dir, spec.Name)}
+	b.Relay = relay.Addr().String()
 	go f.Network.Serve(relay, ip, b.Between)
 	f.Boxes[spec.Name] = b
 	f.order = append(f.order, spec.Name)
@@ -158,14 +158,14 @@
 	return addresses, nil
 }
 
-func (f *Fleet) secretFile() string    { return filepath.Join(f.Folder, "secret") }
-func (f *Fleet) operatorsFile() string { return filepath.Join(f.Folder, "operators") }
+func (f *Fleet) secretFile() string    { return filepath.Join(f.Dir, "secret") }
+func (f *Fleet) operatorsFile() string { return filepath.Join(f.Dir, "operators") }
 
 func (f *Fleet) controlBoxes() string {
 	var list []string
 	for _, name := range f.order {
 		if b := f.Boxes[name]; strings.Contains(b.Spec.Roles, "control") {
-			list = append(list, name+"="+b.Via)
+			list = append(list, name+"="+b.Relay)
 		}
 	}
 	return strings.Join(list, ",")
@@ -184,12 +184,12 @@
 func (f *Fleet) Args(b *Box) []string {
 	args := []string{
 		"--box", b.Spec.Name, "--data-centre", b.Spec.DataCentre, "--roles", b.Spec.Roles,
-		"--caller-listen", b.Caller, "--admin-listen", b.Admin, "--between-listen", b.Between, "--between-address", b.Via,
+		"--caller-listen", b.Caller, "--admin-listen", b.Admin, "--between-listen", b.Between, "--between-address", b.Relay,
 		"--control-boxes", f.controlBoxes(), "--secret-file", f.secretFile(), "--operators-file", f.operatorsFile(),
 		"--platform-url", f.Platform,
 	}
 	if strings.Contains(b.Spec.Roles, "keeper") || strings.Contains(b.Spec.Roles, "control") {
-		args = append(args, "--data-dir", b.Folder)
+		args = append(args, "--data-dir", b.Dir)
 	}
 	return append(args, b.Spec.Flags...)
 }
--- a/tests/integration/crash_test.go
+++ b/tests/integration/crash_test.go
@@ -32,21 +32,21 @@
 		t.Run(name, func(t *testing.T) {
 			slow := quickEngine
 			slow.TokenTime = 60 * time.Millisecond
-			b := newTestbed(t, withEntry(threeBoxes()), slow, 10_000)
-			r, err := b.send("entry-a", "make a list", 60, func() { b.noError(b.fleet.Kill("entry-a")) }, test.headers...)
+			tb := newTestbed(t, withEntry(threeBoxes()), slow, 10_000)
+			r, err := tb.send("entry-a", "make a list", 60, func() { tb.noError(tb.fleet.Kill("entry-a")) }, test.headers...)
 			if err == nil && r.complete {
 				t.Fatal("the stream of the killed box ended as complete")
 			}
 			time.Sleep(test.wait)
-			again := b.mustSend("box-b", "make a list", 60, test.headers...)
+			again := tb.mustSend("box-b", "make a list", 60, test.headers...)
 			if n := countWords(t, again.text); n != 60 {
 				t.Errorf("the retry got %d words, want 60", n)
 			}
-			b.waitFor("the request is billed once", func() bool {
-				row := b.query("show groups")[0]
+			tb.waitFor("the request is billed once", func() bool {
+				row := tb.query("show groups")[0]
 				return row["requests"] == "1" && row["billed"] == fmt.Sprint(again.billed) && row["reserved"] == "0"
 			})
-			if runs, _ := b.engineTotals(); runs != 1 {
+			if runs, _ := tb.engineTotals(); runs != 1 {
 				t.Errorf("the engines ran the request %d times, want once", runs)
 			}
 		})
@@ -58,14 +58,14 @@
 func TestOrphanedRequestIsBilledWithoutRetry(t *testing.T) {
 	slow := quickEngine
 	slow.TokenTime = 10 * time.Millisecond
-	b := newTestbed(t, withEntry(threeBoxes()), slow, 10_000)
-	_, _ = b.send("entry-a", "make a list", 50, func() { b.noError(b.fleet.Kill("entry-a")) }, "Idempotency-Key: list-1")
-	b.waitFor("the orphaned request is billed", func() bool {
-		row := b.query("show groups")[0]
+	tb := newTestbed(t, withEntry(threeBoxes()), slow, 10_000)
+	_, _ = tb.send("entry-a", "make a list", 50, func() { tb.noError(tb.fleet.Kill("entry-a")) }, "Idempotency-Key: list-1")
+	tb.waitFor("the orphaned request is billed", func() bool {
+		row := tb.query("show groups")[0]
 		return row["requests"] == "1" && row["reserved"] == "0" && row["billed"] != "0"
 	})
-	_, tokens := b.engineTotals()
-	if billed := b.query("show groups")[0]["billed"]; billed != fmt.Sprint(tokens+uint64(len("user\nmake a list\n")/4+4)) {
+	_, tokens := tb.engineTotals()
+	if billed := tb.query("show groups")[0]["billed"]; billed != fmt.Sprint(tokens+uint64(len("user\nmake a list\n")/4+4)) {
 		t.Errorf("billed %s tokens including the prompt, the engine generated %d", billed, tokens)
 	}
 }
@@ -73,16 +73,16 @@
 // TestLeaderKilledDuringCommands kills the leader during a series of commands. Each command
 // is retried with the same number until it is answered, and takes effect once.
 func TestLeaderKilledDuringCommands(t *testing.T) {
-	b := newTestbed(t, threeBoxes(), quickEngine, 1000)
+	tb := newTestbed(t, threeBoxes(), quickEngine, 1000)
 	for i := range 30 {
 		if i == 10 {
-			b.noError(b.fleet.Kill(b.leader()))
+			tb.noError(tb.fleet.Kill(tb.leader()))
 		}
-		if r := b.command("grant 1 to north/main"); r.Refusal != "" {
+		if r := tb.command("grant 1 to north/main"); r.Refusal != "" {
 			t.Fatal(r)
 		}
 	}
-	if granted := b.query("show budgets")[0]["granted"]; granted != "1030" {
+	if granted := tb.query("show budgets")[0]["granted"]; granted != "1030" {
 		t.Errorf("granted %s, want 1030", granted)
 	}
 }
@@ -90,22 +90,22 @@
 // TestPausedLeader pauses the leader until every lease has expired and another box is the
 // leader. After it resumes, the old leader neither answers nor acts as one.
 func TestPausedLeader(t *testing.T) {
-	b := newTestbed(t, threeBoxes(), quickEngine, 1000)
-	old := b.leader()
-	b.command("grant 1 to north/main")
-	b.noError(b.fleet.Signal(old, syscall.SIGSTOP))
-	b.waitFor("another box leads", func() bool { return b.findLeader(old) != "" })
-	number := b.number + 1
-	b.command("grant 10 to north/main")
-	b.noError(b.fleet.Signal(old, syscall.SIGCONT))
-	if r := b.commandAs(number, "grant 10 to north/main"); r.Refusal != "" {
+	tb := newTestbed(t, threeBoxes(), quickEngine, 1000)
+	old := tb.leader()
+	tb.command("grant 1 to north/main")
+	tb.noError(tb.fleet.Signal(old, syscall.SIGSTOP))
+	tb.waitFor("another box leads", func() bool { return tb.findLeader(old) != "" })
+	number := tb.number + 1
+	tb.command("grant 10 to north/main")
+	tb.noError(tb.fleet.Signal(old, syscall.SIGCONT))
+	if r := tb.commandAs(number, "grant 10 to north/main"); r.Refusal != "" {
 		t.Errorf("the retried command was refused: %v", r)
 	}
-	b.waitFor("the resumed box is a follower", func() bool {
-		s, err := b.status(old)
+	tb.waitFor("the resumed box is a follower", func() bool {
+		s, err := tb.status(old)
 		return err == nil && s.Control.Role == "follower"
 	})
-	if granted := b.query("show budgets")[0]["granted"]; granted != "1011" {
+	if granted := tb.query("show budgets")[0]["granted"]; granted != "1011" {
 		t.Errorf("granted %s, want 1011", granted)
 	}
 }
@@ -114,23 +114,23 @@
 // the leader. No engine may execute an older order after a newer one, whether it checks
 // fencing tokens or not.
 func TestPausedLeaderSendsNoStaleOrder(t *testing.T) {
-	b := newTestbed(t, threeBoxes(), quickEngine, 1000)
+	tb := newTestbed(t, threeBoxes(), quickEngine, 1000)
 	inForce := func(value string) func() bool {
-		return func() bool { return b.engines["dc-a"].InForce("load").Value == value }
+		return func() bool { return tb.engines["dc-a"].InForce("load").Value == value }
 	}
-	b.command("order engine-dc-a load m1:1")
-	b.waitFor("the first order is executed", inForce("m1:1"))
-	old := b.leader()
-	b.command("order engine-dc-a load m1:2")
-	b.noError(b.fleet.Signal(old, syscall.SIGSTOP))
-	b.waitFor("another box leads", func() bool { return b.findLeader(old) != "" })
-	b.command("order engine-dc-a load m1:3")
-	b.waitFor("the third order is executed", inForce("m1:3"))
-	b.noError(b.fleet.Signal(old, syscall.SIGCONT))
-	b.command("order engine-dc-a load m1:4")
-	b.waitFor("the fourth order is executed", inForce("m1:4"))
+	tb.command("order engine-dc-a load m1:1")
+	tb.waitFor("the first order is executed", inForce("m1:1"))
+	old := tb.leader()
+	tb.command("order engine-dc-a load m1:2")
+	tb.noError(tb.fleet.Signal(old, syscall.SIGSTOP))
+	tb.waitFor("another box leads", func() bool { return tb.findLeader(old) != "" })
+	tb.command("order engine-dc-a load m1:3")
+	tb.waitFor("the third order is executed", inForce("m1:3"))
+	tb.noError(tb.fleet.Signal(old, syscall.SIGCONT))
+	tb.command("order engine-dc-a load m1:4")
+	tb.waitFor("the fourth order is executed", inForce("m1:4"))
 	last := uint64(0)
-	for _, o := range b.engines["dc-a"].Orders() {
+	for _, o := range tb.engines["dc-a"].Orders() {
 		if o.Token < last {
 			t.Errorf("the order with token %d was executed after token %d", o.Token, last)
 		}
@@ -141,19 +141,19 @@
 // TestControlDiskLostThenAnotherBox deletes the data of one box, waits until it has
 // recovered, and then kills a second box. No accepted command may be lost.
 func TestControlDiskLostThenAnotherBox(t *testing.T) {
-	b := newTestbed(t, threeBoxes(), quickEngine, 1000)
-	b.command("grant 1 to north/main")
-	b.noError(b.fleet.Kill("box-c"))
-	b.noError(os.RemoveAll(b.fleet.Boxes["box-c"].Folder))
-	b.command("grant 2 to north/main")
-	b.noError(b.fleet.Start("box-c"))
-	b.waitFor("the box without data is a member again", func() bool {
-		s, err := b.status("box-c")
+	tb := newTestbed(t, threeBoxes(), quickEngine, 1000)
+	tb.command("grant 1 to north/main")
+	tb.noError(tb.fleet.Kill("box-c"))
+	tb.noError(os.RemoveAll(tb.fleet.Boxes["box-c"].Dir))
+	tb.command("grant 2 to north/main")
+	tb.noError(tb.fleet.Start("box-c"))
+	tb.waitFor("the box without data is a member again", func() bool {
+		s, err := tb.status("box-c")
 		return err == nil && s.Control.Member && s.Control.Commit > 0
 	})
-	b.noError(b.fleet.Kill("box-a"))
-	b.command("grant 4 to north/main")
-	if granted := b.query("show budgets")[0]["granted"]; granted != "1007" {
+	tb.noError(tb.fleet.Kill("box-a"))
+	tb.command("grant 4 to north/main")
+	if granted := tb.query("show budgets")[0]["granted"]; granted != "1007" {
 		t.Errorf("granted %s, want 1007", granted)
 	}
 }
@@ -162,24 +162,24 @@
 // the budget is never exceeded, and a request that is not repeatable and may have run there
 // does not run again.
 func TestKeeperDiskLost(t *testing.T) {
-	b := newTestbed(t, threeBoxes(), quickEngine, 1000)
+	tb := newTestbed(t, threeBoxes(), quickEngine, 1000)
 	key := "Idempotency-Key: dc-c:once"
-	b.mustSend("box-c", "first", 10, key, "Havenwinch-Repeatable: no")
-	b.waitFor("control has the bill", func() bool { return b.query("show groups")[0]["requests"] == "1" })
-	b.noError(b.fleet.Kill("box-c"))
-	b.noError(os.RemoveAll(b.fleet.Boxes["box-c"].Folder))
-	b.noError(b.fleet.Start("box-c"))
-	b.noError(b.fleet.Await("box-c", "/readyz"))
-	b.waitFor("the ledger is listed as lost", func() bool { return b.query("show keepers where box = box-c")[0]["lost"] != "" })
-	r, err := b.send("box-c", "first", 10, nil, key, "Havenwinch-Repeatable: no")
+	tb.mustSend("box-c", "first", 10, key, "Havenwinch-Repeatable: no")
+	tb.waitFor("control has the bill", func() bool { return tb.query("show groups")[0]["requests"] == "1" })
+	tb.noError(tb.fleet.Kill("box-c"))
+	tb.noError(os.RemoveAll(tb.fleet.Boxes["box-c"].Dir))
+	tb.noError(tb.fleet.Start("box-c"))
+	tb.noError(tb.fleet.Await("box-c", "/readyz"))
+	tb.waitFor("the ledger is listed as lost", func() bool { return tb.query("show keepers where box = box-c")[0]["lost"] != "" })
+	r, err := tb.send("box-c", "first", 10, nil, key, "Havenwinch-Repeatable: no")
 	if err != nil || r.err.Kind != "outcome_unknown" || r.err.Run != "unknown" {
 		t.Errorf("the request that may have run was answered %+v %v", r, err)
 	}
-	if runs, _ := b.engineTotals(); runs != 1 {
+	if runs, _ := tb.engineTotals(); runs != 1 {
 		t.Errorf("the engines ran the request %d times, want once", runs)
 	}
-	b.exhaustBudget("box-a", "box-c")
-	if _, tokens := b.engineTotals(); tokens > 1000 {
+	tb.exhaustBudget("box-a", "box-c")
+	if _, tokens := tb.engineTotals(); tokens > 1000 {
 		t.Errorf("%d tokens were generated, 1000 granted", tokens)
 	}
 }
@@ -188,22 +188,22 @@
 const maxRequests = 300
 
 // exhaustBudget sends requests to each box until it refuses them for lack of budget.
-func (b *testbed) exhaustBudget(boxes ...string) {
-	b.t.Helper()
+func (tb *testbed) exhaustBudget(boxes ...string) {
+	tb.t.Helper()
 	for _, box := range boxes {
 		for i := 0; ; i++ {
-			r, err := b.send(box, fmt.Sprint("use ", i), 40, nil, "Prefer: wait=5")
+			r, err := tb.send(box, fmt.Sprint("use ", i), 40, nil, "Prefer: wait=5")
 			if err != nil {
-				b.t.Fatal(err)
+				tb.t.Fatal(err)
 			}
 			if r.err.Kind == "budget_exhausted" || r.err.Kind == "budget_unreachable" {
 				break
 			}
 			if i > maxRequests {
-				b.t.Fatalf("box %s has not exhausted the budget", box)
+				tb.t.Fatalf("box %s has not exhausted the budget", box)
 			}
 			if r.status != 200 {
-				b.t.Fatalf("box %s: %+v", box, r)
+				tb.t.Fatalf("box %s: %+v", box, r)
 			}
 		}
 	}
--- a/tests/integration/golden_test.go
+++ b/tests/integration/golden_test.go
@@ -77,7 +77,7 @@
 // TestOperatorsSession compares an operator session with its golden file: valid and invalid
 // commands, a repeated one, a conflict between two, queries and exit codes.
 func TestOperatorsSession(t *testing.T) {
-	b := newTestbed(t, threeBoxes()[:1], quickEngine, 1000)
+	tb := newTestbed(t, threeBoxes()[:1], quickEngine, 1000)
 	var session strings.Builder
 	for _, line := range []string{
 		"command --number 101 create organisation south share 2",
@@ -106,7 +106,7 @@
 		"--output json query show organisations where organisation = south",
 	} {
 		session.WriteString("$ havenwinch " + line + "\n")
-		out, err := b.fleet.Tool(context.Background(), strings.Fields(line)...)
+		out, err := tb.fleet.Tool(context.Background(), strings.Fields(line)...)
 		session.WriteString(out)
 		if err != nil {
 			session.WriteString("[" + err.Error() + "]\n")
--- a/tests/integration/main_test.go
+++ b/tests/integration/main_test.go
@@ -46,21 +46,21 @@
 }
 
 func build(m *testing.M) int {
-	folder, err := os.MkdirTemp("", "havenwinch-bin-")
+	dir, err := os.MkdirTemp("", "havenwinch-bin-")
 	if err != nil {
 		panic(err)
 	}
-	defer os.RemoveAll(folder)
+	defer os.RemoveAll(dir)
 	const module = "havenwinch.dev/havenwinch/"
 	for _, args := range [][]string{
-		{"build", "-race", "-o", folder + "/", module + "cmd/havenwinchd"},
-		{"build", "-o", folder + "/", module + "cmd/havenwinch", module + "standin", module + "tests/tour"},
+		{"build", "-race", "-o", dir + "/", module + "cmd/havenwinchd"},
+		{"build", "-o", dir + "/", module + "cmd/havenwinch", module + "standin", module + "tests/tour"},
 	} {
 		if out, err := exec.Command("go", args...).CombinedOutput(); err != nil {
 			panic(string(out))
 		}
 	}
-	bin = folder
+	bin = dir
 	return m.Run()
 }
 
@@ -100,117 +100,117 @@
 func newTestbed(t *testing.T, specs []fleet.BoxSpec, engine standin.Options, tokens int) *testbed {
 	t.Helper()
 	t.Parallel()
-	b := &testbed{t: t, platform: platform.New(1), engines: map[string]*standin.Engine{}}
+	tb := &testbed{t: t, platform: platform.New(1), engines: map[string]*standin.Engine{}}
 	for _, spec := range specs {
-		if b.engines[spec.DataCentre] == nil {
-			b.addEngine("engine-"+spec.DataCentre, spec.DataCentre, engine)
+		if tb.engines[spec.DataCentre] == nil {
+			tb.addEngine("engine-"+spec.DataCentre, spec.DataCentre, engine)
 		}
 	}
-	list := b.serve(b.platform.Handler())
+	list := tb.serve(tb.platform.Handler())
 	f, err := fleet.New(bin, t.TempDir(), "http://"+list, specs)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.fleet = f
+	tb.fleet = f
 	t.Cleanup(func() {
 		f.Close()
-		b.reportRaces()
-		if err := b.answers.Check(); err != nil {
+		tb.reportRaces()
+		if err := tb.answers.Check(); err != nil {
 			t.Error(err)
 		}
 	})
 	if err := f.StartAll(); err != nil {
 		t.Fatal(err)
 	}
-	b.setup(tokens)
+	tb.setup(tokens)
 	if err := f.AwaitReady(); err != nil {
 		t.Fatal(err)
 	}
-	b.waitConfigured(f.Names()...)
-	return b
+	tb.waitConfigured(f.Names()...)
+	return tb
 }
 
 // waitConfigured waits until the boxes use the latest revision of the configuration.
-func (b *testbed) waitConfigured(boxes ...string) {
-	b.t.Helper()
-	revision, err := strconv.ParseUint(b.query("show revision")[0]["revision"], 10, 64)
-	b.noError(err)
+func (tb *testbed) waitConfigured(boxes ...string) {
+	tb.t.Helper()
+	revision, err := strconv.ParseUint(tb.query("show revision")[0]["revision"], 10, 64)
+	tb.noError(err)
 	for _, name := range boxes {
-		b.waitFor("the configuration is applied at "+name, func() bool {
-			s, err := b.status(name)
+		tb.waitFor("the configuration is applied at "+name, func() bool {
+			s, err := tb.status(name)
 			return err == nil && s.Revision >= revision
 		})
 	}
 }
 
-func (b *testbed) reportRaces() {
-	for _, name := range b.fleet.Names() {
-		if log := b.fleet.Boxes[name].Log(); strings.Contains(log, "DATA RACE") || strings.Contains(log, "panic:") {
-			b.t.Errorf("box %s:\n%s", name, log)
+func (tb *testbed) reportRaces() {
+	for _, name := range tb.fleet.Names() {
+		if log := tb.fleet.Boxes[name].Log(); strings.Contains(log, "DATA RACE") || strings.Contains(log, "panic:") {
+			tb.t.Errorf("box %s:\n%s", name, log)
 		}
 	}
 }
 
-func (b *testbed) addEngine(name, dc string, o standin.Options) {
+func (tb *testbed) addEngine(name, dc string, o standin.Options) {
 	e := standin.New(o)
-	b.engines[dc] = e
-	b.platform.Put(platform.Target{Name: name, Address: b.serve(e.Handler()), Kind: "engine", Models: []string{"m1"}, DataCentre: dc, State: "live"})
+	tb.engines[dc] = e
+	tb.platform.Put(platform.Target{Name: name, Address: tb.serve(e.Handler()), Kind: "engine", Models: []string{"m1"}, DataCentre: dc, State: "live"})
 }
 
-func (b *testbed) serve(h http.Handler) string {
+func (tb *testbed) serve(h http.Handler) string {
 	server := httptest.NewUnstartedServer(h)
 	server.Config.ErrorLog = slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)
 	server.Start()
-	b.t.Cleanup(func() {
+	tb.t.Cleanup(func() {
 		server.CloseClientConnections()
 		server.Close()
 	})
 	return server.Listener.Addr().String()
 }
 
-func (b *testbed) setup(tokens int) {
-	b.t.Helper()
-	b.command("create organisation north share 1")
-	b.command(fmt.Sprintf("create budget north/main tokens %d", tokens))
-	b.command("create group north/a budget north/main models m1")
-	b.command("add key " + digest.Of([]byte(accessKey)) + " to north/a")
+func (tb *testbed) setup(tokens int) {
+	tb.t.Helper()
+	tb.command("create organisation north share 1")
+	tb.command(fmt.Sprintf("create budget north/main tokens %d", tokens))
+	tb.command("create group north/a budget north/main models m1")
+	tb.command("add key " + digest.Of([]byte(accessKey)) + " to north/a")
 }
 
 // command sends a command with the next number and retries it until the result is known.
-func (b *testbed) command(text string) structs.CommandResult {
-	b.t.Helper()
-	b.number++
-	return b.commandAs(b.number, text)
+func (tb *testbed) command(text string) structs.CommandResult {
+	tb.t.Helper()
+	tb.number++
+	return tb.commandAs(tb.number, text)
 }
 
-func (b *testbed) commandAs(number uint64, text string) structs.CommandResult {
-	b.t.Helper()
+func (tb *testbed) commandAs(number uint64, text string) structs.CommandResult {
+	tb.t.Helper()
 	var result structs.CommandResult
 	deadline := time.Now().Add(waitLimit)
 	for {
-		out, err := b.fleet.Tool(context.Background(), "--output", "json", "command", "--number", strconv.FormatUint(number, 10), text)
+		out, err := tb.fleet.Tool(context.Background(), "--output", "json", "command", "--number", strconv.FormatUint(number, 10), text)
 		if json.Unmarshal([]byte(out), &result) == nil && err == nil {
 			return result
 		}
 		if time.Now().After(deadline) {
-			b.t.Fatalf("%s: %v\n%s", text, err, out)
+			tb.t.Fatalf("%s: %v\n%s", text, err, out)
 		}
 		time.Sleep(pollInterval)
 	}
 }
 
 // query returns the rows of a query as maps from column to value.
-func (b *testbed) query(text string) []map[string]string {
-	b.t.Helper()
+func (tb *testbed) query(text string) []map[string]string {
+	tb.t.Helper()
 	var result structs.QueryResult
 	deadline := time.Now().Add(waitLimit)
 	for {
-		out, err := b.fleet.Tool(context.Background(), "--output", "json", "query", text)
+		out, err := tb.fleet.Tool(context.Background(), "--output", "json", "query", text)
 		if err == nil && json.Unmarshal([]byte(out), &result) == nil {
 			break
 		}
 		if time.Now().After(deadline) {
-			b.t.Fatalf("%s: %v\n%s", text, err, out)
+			tb.t.Fatalf("%s: %v\n%s", text, err, out)
 		}
 		time.Sleep(pollInterval)
 	}
@@ -225,15 +225,15 @@
 	return rows
 }
 
-func (b *testbed) waitFor(what string, met func() bool) {
-	b.t.Helper()
+func (tb *testbed) waitFor(what string, met func() bool) {
+	tb.t.Helper()
 	deadline := time.Now().Add(waitLimit)
 	for !met() {
 		if time.Now().After(deadline) {
-			for _, name := range b.fleet.Names() {
-				b.t.Logf("%s:\n%s", name, b.fleet.Boxes[name].Log())
+			for _, name := range tb.fleet.Names() {
+				tb.t.Logf("%s:\n%s", name, tb.fleet.Boxes[name].Log())
 			}
-			b.t.Fatalf("timed out waiting until %s", what)
+			tb.t.Fatalf("timed out waiting until %s", what)
 		}
 		time.Sleep(pollInterval)
 	}
@@ -250,18 +250,18 @@
 
 // send sends a streaming request to a box. If first is not nil, it is called after the
 // first event.
-func (b *testbed) send(box string, prompt string, tokens int, first func(), headers ...string) (reply, error) {
-	return b.sendFor(waitLimit, box, prompt, tokens, first, headers)
+func (tb *testbed) send(box string, prompt string, tokens int, first func(), headers ...string) (reply, error) {
+	return tb.sendFor(waitLimit, box, prompt, tokens, first, headers)
 }
 
 // sendWithin is like send with a timeout for the whole answer.
-func (b *testbed) sendWithin(timeout time.Duration, box, prompt string, tokens int, headers ...string) (reply, error) {
-	return b.sendFor(timeout, box, prompt, tokens, nil, headers)
+func (tb *testbed) sendWithin(timeout time.Duration, box, prompt string, tokens int, headers ...string) (reply, error) {
+	return tb.sendFor(timeout, box, prompt, tokens, nil, headers)
 }
 
-func (b *testbed) sendFor(timeout time.Duration, box, prompt string, tokens int, first func(), headers []string) (reply, error) {
+func (tb *testbed) sendFor(timeout time.Duration, box, prompt string, tokens int, first func(), headers []string) (reply, error) {
 	body := fmt.Sprintf(`{"model":"m1","messages":[{"role":"user","content":%q}],"max_tokens":%d,"stream":true}`, prompt, tokens)
-	req, err := http.NewRequest("POST", "http://"+b.fleet.Boxes[box].Caller+"/v1/chat/completions", strings.NewReader(body))
+	req, err := http.NewRequest("POST", "http://"+tb.fleet.Boxes[box].Caller+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
 		return reply{}, err
 	}
@@ -270,7 +270,7 @@
 		name, value, _ := strings.Cut(h, ": ")
 		req.Header.Set(name, value)
 	}
-	client := &http.Client{Timeout: timeout, Transport: &http.Transport{DisableKeepAlives: true, DialContext: b.answers.DialContext}}
+	client := &http.Client{Timeout: timeout, Transport: &http.Transport{DisableKeepAlives: true, DialContext: tb.answers.DialContext}}
 	resp, err := client.Do(req)
 	if err != nil {
 		return reply{}, err
@@ -334,11 +334,11 @@
 	r.err = e.Error
 }
 
-func (b *testbed) mustSend(box, prompt string, tokens int, headers ...string) reply {
-	b.t.Helper()
-	r, err := b.send(box, prompt, tokens, nil, headers...)
+func (tb *testbed) mustSend(box, prompt string, tokens int, headers ...string) reply {
+	tb.t.Helper()
+	r, err := tb.send(box, prompt, tokens, nil, headers...)
 	if err != nil || r.status != 200 || !r.complete {
-		b.t.Fatalf("box %s: %+v %v\n%s", box, r, err, b.fleet.Boxes[box].Log())
+		tb.t.Fatalf("box %s: %+v %v\n%s", box, r, err, tb.fleet.Boxes[box].Log())
 	}
 	return r
 }
@@ -359,8 +359,8 @@
 
 // engineTotals returns how many runs the engines have started and how many tokens they have
 // generated.
-func (b *testbed) engineTotals() (runs int, tokens uint64) {
-	for _, e := range b.engines {
+func (tb *testbed) engineTotals() (runs int, tokens uint64) {
+	for _, e := range tb.engines {
 		_, n, made := e.Counts()
 		runs += n
 		tokens += made
@@ -369,32 +369,32 @@
 }
 
 // leader waits until there is a leader and returns its name.
-func (b *testbed) leader() string {
-	b.t.Helper()
+func (tb *testbed) leader() string {
+	tb.t.Helper()
 	name := ""
-	b.waitFor("there is a leader", func() bool {
-		name = b.findLeader("")
+	tb.waitFor("there is a leader", func() bool {
+		name = tb.findLeader("")
 		return name != ""
 	})
 	return name
 }
 
 // findLeader returns the name of a leader other than the given box, or "".
-func (b *testbed) findLeader(not string) string {
-	for _, name := range b.fleet.Names() {
+func (tb *testbed) findLeader(not string) string {
+	for _, name := range tb.fleet.Names() {
 		if name == not {
 			continue
 		}
-		if s, err := b.status(name); err == nil && s.Control != nil && s.Control.Role == "leader" {
+		if s, err := tb.status(name); err == nil && s.Control != nil && s.Control.Role == "leader" {
 			return name
 		}
 	}
 	return ""
 }
 
-func (b *testbed) status(name string) (structs.BoxStatus, error) {
+func (tb *testbed) status(name string) (structs.BoxStatus, error) {
 	var s structs.BoxStatus
-	req, err := http.NewRequest("GET", "http://"+b.fleet.Boxes[name].Admin+"/admin/v1/status", nil)
+	req, err := http.NewRequest("GET", "http://"+tb.fleet.Boxes[name].Admin+"/admin/v1/status", nil)
 	if err != nil {
 		return s, err
 	}
@@ -408,9 +408,9 @@
 	return s, json.NewDecoder(resp.Body).Decode(&s)
 }
 
-func (b *testbed) noError(err error) {
-	b.t.Helper()
+func (tb *testbed) noError(err error) {
+	tb.t.Helper()
 	if err != nil {
-		b.t.Fatal(err)
+		tb.t.Fatal(err)
 	}
 }
--- a/tests/integration/pairs_test.go
+++ b/tests/integration/pairs_test.go
@@ -17,78 +17,78 @@
 // checks the accounts when both are over.
 func TestFaultsInPairs(t *testing.T) {
 	tests := map[string]struct {
-		begin func(b *testbed)
-		end   func(b *testbed)
+		begin func(tb *testbed)
+		end   func(tb *testbed)
 	}{
 		"partition and a killed box": {
-			func(b *testbed) {
-				b.fleet.Isolate("box-c", true)
-				b.noError(b.fleet.Kill("box-a"))
+			func(tb *testbed) {
+				tb.fleet.Isolate("box-c", true)
+				tb.noError(tb.fleet.Kill("box-a"))
 			},
-			func(b *testbed) {
-				b.noError(b.fleet.Start("box-a"))
-				b.fleet.Isolate("box-c", false)
+			func(tb *testbed) {
+				tb.noError(tb.fleet.Start("box-a"))
+				tb.fleet.Isolate("box-c", false)
 			},
 		},
 		"two paused boxes": {
-			func(b *testbed) {
-				b.noError(b.fleet.Signal("box-a", syscall.SIGSTOP))
-				b.noError(b.fleet.Signal("box-c", syscall.SIGSTOP))
+			func(tb *testbed) {
+				tb.noError(tb.fleet.Signal("box-a", syscall.SIGSTOP))
+				tb.noError(tb.fleet.Signal("box-c", syscall.SIGSTOP))
 			},
-			func(b *testbed) {
-				b.noError(b.fleet.Signal("box-a", syscall.SIGCONT))
-				b.noError(b.fleet.Signal("box-c", syscall.SIGCONT))
+			func(tb *testbed) {
+				tb.noError(tb.fleet.Signal("box-a", syscall.SIGCONT))
+				tb.noError(tb.fleet.Signal("box-c", syscall.SIGCONT))
 			},
 		},
 		"partition and a paused box": {
-			func(b *testbed) {
-				b.fleet.Isolate("box-c", true)
-				b.noError(b.fleet.Signal("box-a", syscall.SIGSTOP))
+			func(tb *testbed) {
+				tb.fleet.Isolate("box-c", true)
+				tb.noError(tb.fleet.Signal("box-a", syscall.SIGSTOP))
 			},
-			func(b *testbed) {
-				b.noError(b.fleet.Signal("box-a", syscall.SIGCONT))
-				b.fleet.Isolate("box-c", false)
+			func(tb *testbed) {
+				tb.noError(tb.fleet.Signal("box-a", syscall.SIGCONT))
+				tb.fleet.Isolate("box-c", false)
 			},
 		},
 		"slow links and a killed box": {
-			func(b *testbed) {
-				b.delayLinks(150 * time.Millisecond)
-				b.noError(b.fleet.Kill("box-c"))
+			func(tb *testbed) {
+				tb.delayLinks(150 * time.Millisecond)
+				tb.noError(tb.fleet.Kill("box-c"))
 			},
-			func(b *testbed) {
-				b.noError(b.fleet.Start("box-c"))
-				b.delayLinks(0)
+			func(tb *testbed) {
+				tb.noError(tb.fleet.Start("box-c"))
+				tb.delayLinks(0)
 			},
 		},
 		"one-way partition and a restart": {
-			func(b *testbed) {
-				b.fleet.Cut("box-a", "box-b", true)
-				b.noError(b.fleet.Kill("box-c"))
-				b.noError(b.fleet.Start("box-c"))
+			func(tb *testbed) {
+				tb.fleet.Cut("box-a", "box-b", true)
+				tb.noError(tb.fleet.Kill("box-c"))
+				tb.noError(tb.fleet.Start("box-c"))
 			},
-			func(b *testbed) { b.fleet.Cut("box-a", "box-b", false) },
+			func(tb *testbed) { tb.fleet.Cut("box-a", "box-b", false) },
 		},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			const budget = 2500
-			b := newTestbed(t, threeBoxes(), quickEngine, budget)
-			for _, box := range b.fleet.Names() {
-				b.mustSend(box, "demand", 20)
+			tb := newTestbed(t, threeBoxes(), quickEngine, budget)
+			for _, box := range tb.fleet.Names() {
+				tb.mustSend(box, "demand", 20)
 			}
-			test.begin(b)
-			answered := b.sendLoad()
-			test.end(b)
-			for _, box := range b.fleet.Names() {
-				b.noError(b.fleet.Await(box, "/readyz"))
+			test.begin(tb)
+			answered := tb.sendLoad()
+			test.end(tb)
+			for _, box := range tb.fleet.Names() {
+				tb.noError(tb.fleet.Await(box, "/readyz"))
 			}
-			b.exhaustBudget("box-b")
-			b.waitFor("the accounts match the engines", func() bool {
-				row := b.query("show budgets")[0]
+			tb.exhaustBudget("box-b")
+			tb.waitFor("the accounts match the engines", func() bool {
+				row := tb.query("show budgets")[0]
 				spent, _ := strconv.Atoi(row["spent"])
-				return row["reserved"] == "0" && spent == b.processedTokens()
+				return row["reserved"] == "0" && spent == tb.processedTokens()
 			})
-			if work := b.processedTokens(); work > budget {
+			if work := tb.processedTokens(); work > budget {
 				t.Errorf("%d tokens were processed, budget %d", work, budget)
 			}
 			t.Logf("%d requests were answered during the faults", answered)
@@ -98,13 +98,13 @@
 
 // sendLoad sends six requests with idempotency keys to every box and returns the number of
 // complete answers. Errors are ignored.
-func (b *testbed) sendLoad() int {
+func (tb *testbed) sendLoad() int {
 	answered := make(chan int)
-	for _, box := range b.fleet.Names() {
+	for _, box := range tb.fleet.Names() {
 		go func() {
 			n := 0
 			for i := range 6 {
-				r, err := b.sendWithin(3*time.Second, box, fmt.Sprint("load ", i), 15, "Prefer: wait=2", fmt.Sprintf("Idempotency-Key: %s-%d", box, i))
+				r, err := tb.sendWithin(3*time.Second, box, fmt.Sprint("load ", i), 15, "Prefer: wait=2", fmt.Sprintf("Idempotency-Key: %s-%d", box, i))
 				if err == nil && r.complete {
 					n++
 				}
@@ -113,17 +113,17 @@
 		}()
 	}
 	sum := 0
-	for range b.fleet.Names() {
+	for range tb.fleet.Names() {
 		sum += <-answered
 	}
 	return sum
 }
 
 // delayLinks sets the delay of all links between boxes.
-func (b *testbed) delayLinks(d time.Duration) {
-	for _, from := range b.fleet.Names() {
-		for _, to := range b.fleet.Names() {
-			b.fleet.Network.Set(b.fleet.Boxes[from].IP, b.fleet.Boxes[to].IP, fleet.Link{Delay: d})
+func (tb *testbed) delayLinks(d time.Duration) {
+	for _, from := range tb.fleet.Names() {
+		for _, to := range tb.fleet.Names() {
+			tb.fleet.Network.Set(tb.fleet.Boxes[from].IP, tb.fleet.Boxes[to].IP, fleet.Link{Delay: d})
 		}
 	}
 }
--- a/tests/integration/stop_test.go
+++ b/tests/integration/stop_test.go
@@ -17,7 +17,7 @@
 func TestGracefulShutdownCompletesStreams(t *testing.T) {
 	slow := quickEngine
 	slow.TokenTime = 30 * time.Millisecond
-	b := newTestbed(t, threeBoxes(), slow, 10_000)
+	tb := newTestbed(t, threeBoxes(), slow, 10_000)
 	var wg sync.WaitGroup
 	var once sync.Once
 	stopped := make(chan error, 1)
@@ -25,8 +25,8 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			r, err := b.send("box-c", fmt.Sprint("list ", i), 120, func() {
-				once.Do(func() { go func() { stopped <- b.fleet.Stop("box-c") }() })
+			r, err := tb.send("box-c", fmt.Sprint("list ", i), 120, func() {
+				once.Do(func() { go func() { stopped <- tb.fleet.Stop("box-c") }() })
 			})
 			if err != nil || !r.complete || countWords(t, r.text) != 120 {
 				t.Errorf("a stream is incomplete: %d bytes, %v", len(r.text), err)
@@ -35,11 +35,11 @@
 	}
 	wg.Wait()
 	if err := <-stopped; err != nil {
-		t.Errorf("the box exited with %v\n%s", err, b.fleet.Boxes["box-c"].Log())
+		t.Errorf("the box exited with %v\n%s", err, tb.fleet.Boxes["box-c"].Log())
 	}
-	b.waitFor("control has the bills and the returned tokens", func() bool {
-		group := b.query("show groups")[0]
-		for _, row := range b.query("show allotments") {
+	tb.waitFor("control has the bills and the returned tokens", func() bool {
+		group := tb.query("show groups")[0]
+		for _, row := range tb.query("show allotments") {
 			if len(row["holder"]) > 5 && row["holder"][:5] == "box-c" && row["allotted"] != addDecimals(row["returned"], row["spent"]) {
 				return false
 			}
@@ -63,18 +63,18 @@
 	specs[0].Flags = append(append([]string(nil), quickFlags...), "--stop-limit", "8s")
 	slow := quickEngine
 	slow.TokenTime = 10 * time.Millisecond
-	b := newTestbed(t, specs, slow, 10_000)
-	r, err := b.send("box-a", "list", 60, func() { b.noError(b.fleet.Kill("box-c")) }, "Idempotency-Key: dc-c:list")
+	tb := newTestbed(t, specs, slow, 10_000)
+	r, err := tb.send("box-a", "list", 60, func() { tb.noError(tb.fleet.Kill("box-c")) }, "Idempotency-Key: dc-c:list")
 	if err != nil || !r.complete {
 		t.Fatalf("the stream is incomplete: %+v %v", r, err)
 	}
-	if err := b.fleet.Stop("box-a"); err != nil {
-		t.Errorf("the box exited with %v\n%s", err, b.fleet.Boxes["box-a"].Log())
+	if err := tb.fleet.Stop("box-a"); err != nil {
+		t.Errorf("the box exited with %v\n%s", err, tb.fleet.Boxes["box-a"].Log())
 	}
-	b.noError(b.fleet.Start("box-c"))
-	b.waitFor("the keeper bills the orphaned request", func() bool {
-		row := b.query("show groups")[0]
-		return row["requests"] == "1" && row["billed"] == fmt.Sprint(b.processedTokens()) && row["reserved"] == "0"
+	tb.noError(tb.fleet.Start("box-c"))
+	tb.waitFor("the keeper bills the orphaned request", func() bool {
+		row := tb.query("show groups")[0]
+		return row["requests"] == "1" && row["billed"] == fmt.Sprint(tb.processedTokens()) && row["reserved"] == "0"
 	})
 }
 
@@ -82,16 +82,16 @@
 func TestSecondSignalAbortsShutdown(t *testing.T) {
 	slow := quickEngine
 	slow.TokenTime = time.Second
-	b := newTestbed(t, threeBoxes(), slow, 10_000)
-	r, err := b.send("box-c", "list", 500, func() {
-		b.noError(b.fleet.Signal("box-c", syscall.SIGTERM))
+	tb := newTestbed(t, threeBoxes(), slow, 10_000)
+	r, err := tb.send("box-c", "list", 500, func() {
+		tb.noError(tb.fleet.Signal("box-c", syscall.SIGTERM))
 		time.Sleep(100 * time.Millisecond)
-		b.noError(b.fleet.Signal("box-c", syscall.SIGTERM))
+		tb.noError(tb.fleet.Signal("box-c", syscall.SIGTERM))
 	})
 	if err == nil && r.complete {
 		t.Error("the stream ended as complete")
 	}
-	if b.fleet.Exit("box-c") == nil {
+	if tb.fleet.Exit("box-c") == nil {
 		t.Error("the aborted shutdown exited with code 0")
 	}
 }
@@ -99,7 +99,7 @@
 // TestRollingRestart restarts every box in turn under load. Callers select a ready box, as
 // a load balancer does, and no request is truncated or refused.
 func TestRollingRestart(t *testing.T) {
-	b := newTestbed(t, threeBoxes(), quickEngine, 1_000_000)
+	tb := newTestbed(t, threeBoxes(), quickEngine, 1_000_000)
 	var stop atomic.Bool
 	var wg sync.WaitGroup
 	var answered atomic.Int64
@@ -108,8 +108,8 @@
 		go func() {
 			defer wg.Done()
 			for n := 0; !stop.Load(); n++ {
-				box := b.readyBox()
-				r, err := b.send(box, fmt.Sprint("load ", i, n), 20, nil)
+				box := tb.readyBox()
+				r, err := tb.send(box, fmt.Sprint("load ", i, n), 20, nil)
 				if err != nil || r.status != 200 || !r.complete {
 					t.Errorf("%s: %+v %v", box, r, err)
 					return
@@ -118,10 +118,10 @@
 			}
 		}()
 	}
-	for _, name := range b.fleet.Names() {
-		b.noError(b.fleet.Stop(name))
-		b.noError(b.fleet.Start(name))
-		b.noError(b.fleet.Await(name, "/readyz"))
+	for _, name := range tb.fleet.Names() {
+		tb.noError(tb.fleet.Stop(name))
+		tb.noError(tb.fleet.Start(name))
+		tb.noError(tb.fleet.Await(name, "/readyz"))
 	}
 	stop.Store(true)
 	wg.Wait()
@@ -131,10 +131,10 @@
 }
 
 // readyBox returns a box that reports to be ready, and blocks until there is one.
-func (b *testbed) readyBox() string {
+func (tb *testbed) readyBox() string {
 	for {
-		for _, name := range b.fleet.Names() {
-			if s, err := b.status(name); err == nil && s.Ready {
+		for _, name := range tb.fleet.Names() {
+			if s, err := tb.status(name); err == nil && s.Ready {
 				return name
 			}
 		}
@@ -145,39 +145,39 @@
 // removal, and by an operator at another box. Once the box knows, the engine receives no new
 // requests, and its requests in progress complete.
 func TestLeavingTargets(t *testing.T) {
-	tests := map[string]func(b *testbed){
-		"listed as leaving": func(b *testbed) { b.platform.SetState("engine-dc-a", "leaving") },
-		"listed as leaving, then as live": func(b *testbed) {
-			b.platform.SetState("engine-dc-a", "leaving")
-			b.waitFor("the box knows", func() bool { return b.targetState("box-a", "engine-dc-a") == "leaving" })
-			b.platform.SetState("engine-dc-a", "live")
-			b.waitListRead()
+	tests := map[string]func(tb *testbed){
+		"listed as leaving": func(tb *testbed) { tb.platform.SetState("engine-dc-a", "leaving") },
+		"listed as leaving, then as live": func(tb *testbed) {
+			tb.platform.SetState("engine-dc-a", "leaving")
+			tb.waitFor("the box knows", func() bool { return tb.targetState("box-a", "engine-dc-a") == "leaving" })
+			tb.platform.SetState("engine-dc-a", "live")
+			tb.waitListRead()
 		},
-		"removed from the list":  func(b *testbed) { b.platform.Remove("engine-dc-a") },
-		"drained by an operator": func(b *testbed) { b.command("drain target engine-dc-a") },
+		"removed from the list":  func(tb *testbed) { tb.platform.Remove("engine-dc-a") },
+		"drained by an operator": func(tb *testbed) { tb.command("drain target engine-dc-a") },
 	}
 	for name, leave := range tests {
 		t.Run(name, func(t *testing.T) {
 			slow := quickEngine
 			slow.TokenTime = 20 * time.Millisecond
-			b := newTestbed(t, threeBoxes(), slow, 100_000)
+			tb := newTestbed(t, threeBoxes(), slow, 100_000)
 			done := make(chan reply, 1)
 			begun := make(chan struct{})
 			go func() {
-				r, _ := b.send("box-a", "long", 100, func() { close(begun) })
+				r, _ := tb.send("box-a", "long", 100, func() { close(begun) })
 				done <- r
 			}()
 			<-begun
-			leave(b)
-			b.waitFor("the box knows", func() bool {
-				s := b.targetState("box-a", "engine-dc-a")
+			leave(tb)
+			tb.waitFor("the box knows", func() bool {
+				s := tb.targetState("box-a", "engine-dc-a")
 				return s != "live"
 			})
-			_, before, _ := b.engines["dc-a"].Counts()
+			_, before, _ := tb.engines["dc-a"].Counts()
 			for i := range 5 {
-				b.mustSend("box-a", fmt.Sprint("new ", i), 5)
+				tb.mustSend("box-a", fmt.Sprint("new ", i), 5)
 			}
-			if _, after, _ := b.engines["dc-a"].Counts(); after != before {
+			if _, after, _ := tb.engines["dc-a"].Counts(); after != before {
 				t.Errorf("the leaving target received %d new requests", after-before)
 			}
 			if r := <-done; !r.complete {
@@ -189,13 +189,13 @@
 
 // waitListRead waits until every box has read the platform's list again. All boxes read it at
 // the same interval, so three reads per box suffice.
-func (b *testbed) waitListRead() {
-	before := b.platform.Reads()
-	b.waitFor("the list is read again", func() bool { return b.platform.Reads() >= before+3*len(b.fleet.Names()) })
+func (tb *testbed) waitListRead() {
+	before := tb.platform.Reads()
+	tb.waitFor("the list is read again", func() bool { return tb.platform.Reads() >= before+3*len(tb.fleet.Names()) })
 }
 
-func (b *testbed) targetState(box, name string) string {
-	s, err := b.status(box)
+func (tb *testbed) targetState(box, name string) string {
+	s, err := tb.status(box)
 	if err != nil || s.Entry == nil {
 		return "live"
 	}
@@ -211,45 +211,45 @@
 // without a disk, and restarts a box in a partitioned data centre. None of them may start
 // with an older configuration.
 func TestConfigurationNeverReverts(t *testing.T) {
-	b := newTestbed(t, withEntry(threeBoxes()), quickEngine, 10_000)
+	tb := newTestbed(t, withEntry(threeBoxes()), quickEngine, 10_000)
 	for i := range 500 {
-		b.commandAs(uint64(1000+i), fmt.Sprintf("rollout target-slots = %d", 1+i%100))
+		tb.commandAs(uint64(1000+i), fmt.Sprintf("rollout target-slots = %d", 1+i%100))
 	}
-	b.waitConfigured(b.fleet.Names()...)
-	revision := b.query("show revision")[0]["revision"]
+	tb.waitConfigured(tb.fleet.Names()...)
+	revision := tb.query("show revision")[0]["revision"]
 	for _, name := range []string{"entry-a", "box-b"} {
-		b.noError(b.fleet.Kill(name))
-		b.noError(b.fleet.Start(name))
-		b.noError(b.fleet.Await(name, "/readyz"))
-		b.waitConfigured(name)
+		tb.noError(tb.fleet.Kill(name))
+		tb.noError(tb.fleet.Start(name))
+		tb.noError(tb.fleet.Await(name, "/readyz"))
+		tb.waitConfigured(name)
 	}
-	b.fleet.Isolate("box-c", true)
-	b.command("rollout target-slots = 7")
-	b.noError(b.fleet.Kill("box-c"))
-	b.noError(b.fleet.Start("box-c"))
-	b.noError(b.fleet.Await("box-c", "/readyz"))
-	s, err := b.status("box-c")
+	tb.fleet.Isolate("box-c", true)
+	tb.command("rollout target-slots = 7")
+	tb.noError(tb.fleet.Kill("box-c"))
+	tb.noError(tb.fleet.Start("box-c"))
+	tb.noError(tb.fleet.Await("box-c", "/readyz"))
+	s, err := tb.status("box-c")
 	if err != nil || fmt.Sprint(s.Revision) != revision {
 		t.Errorf("the partitioned box restarted at revision %d, want %s", s.Revision, revision)
 	}
 	if s.Confirmed >= 0 && s.Confirmed < 0.5 {
 		t.Errorf("the partitioned box reports its configuration as confirmed %g s ago", s.Confirmed)
 	}
-	b.fleet.Isolate("box-c", false)
-	b.waitConfigured("box-c")
+	tb.fleet.Isolate("box-c", false)
+	tb.waitConfigured("box-c")
 }
 
 // TestPartitionedBoxServesAfterRestart restarts the only box of a data centre during a partition.
 // It serves requests with the tokens in its ledger.
 func TestPartitionedBoxServesAfterRestart(t *testing.T) {
-	b := newTestbed(t, threeBoxes(), quickEngine, 3000)
-	b.mustSend("box-c", "demand", 20)
-	b.fleet.Isolate("box-c", true)
-	b.noError(b.fleet.Kill("box-c"))
-	b.noError(b.fleet.Start("box-c"))
-	b.noError(b.fleet.Await("box-c", "/readyz"))
-	b.waitFor("its engine is listed", func() bool { return b.targetState("box-c", "engine-dc-c") == "live" })
-	b.mustSend("box-c", "urgent", 20)
+	tb := newTestbed(t, threeBoxes(), quickEngine, 3000)
+	tb.mustSend("box-c", "demand", 20)
+	tb.fleet.Isolate("box-c", true)
+	tb.noError(tb.fleet.Kill("box-c"))
+	tb.noError(tb.fleet.Start("box-c"))
+	tb.noError(tb.fleet.Await("box-c", "/readyz"))
+	tb.waitFor("its engine is listed", func() bool { return tb.targetState("box-c", "engine-dc-c") == "live" })
+	tb.mustSend("box-c", "urgent", 20)
 }
 
 // TestTour compares the output of make run with its golden file.
--- a/tests/integration/tls_test.go
+++ b/tests/integration/tls_test.go
@@ -26,22 +26,22 @@
 			"--caller-cert", f.Cert, "--caller-key", f.Key,
 			"--between-cert", f.Cert, "--between-key", f.Key, "--between-ca", f.Authority)
 	}
-	b := newTestbed(t, specs, quickEngine, 1000)
+	tb := newTestbed(t, specs, quickEngine, 1000)
 	pem, err := os.ReadFile(f.Authority)
-	b.noError(err)
+	tb.noError(err)
 	pool := x509.NewCertPool()
 	pool.AppendCertsFromPEM(pem)
 	client := &http.Client{Timeout: waitLimit, Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool, ServerName: "127.0.0.1"}}}
-	req, err := http.NewRequest("POST", "https://"+b.fleet.Boxes["box-a"].Caller+"/v1/chat/completions", strings.NewReader(`{"model":"m1","max_tokens":5,"messages":[{"role":"user","content":"hi"}]}`))
-	b.noError(err)
+	req, err := http.NewRequest("POST", "https://"+tb.fleet.Boxes["box-a"].Caller+"/v1/chat/completions", strings.NewReader(`{"model":"m1","max_tokens":5,"messages":[{"role":"user","content":"hi"}]}`))
+	tb.noError(err)
 	req.Header.Set("Authorization", "Bearer "+accessKey)
 	resp, err := client.Do(req)
-	b.noError(err)
+	tb.noError(err)
 	defer resp.Body.Close()
 	if body, _ := io.ReadAll(resp.Body); resp.StatusCode != http.StatusOK || !strings.Contains(string(body), "w5-") {
 		t.Errorf("got %d %s", resp.StatusCode, body)
 	}
-	if r, err := b.send("box-a", "hi", 5, nil); err == nil && r.status == http.StatusOK {
+	if r, err := tb.send("box-a", "hi", 5, nil); err == nil && r.status == http.StatusOK {
 		t.Error("a plaintext connection was served")
 	}
 }
--- a/tests/integration/versions_test.go
+++ b/tests/integration/versions_test.go
@@ -16,29 +16,29 @@
 // earlierBin returns the directory with the daemon of an earlier version, which
 // HAVENWINCH_EARLIER_BIN sets. Without it the current version takes both roles.
 func earlierBin() string {
-	if folder := os.Getenv("HAVENWINCH_EARLIER_BIN"); folder != "" {
-		return folder
+	if dir := os.Getenv("HAVENWINCH_EARLIER_BIN"); dir != "" {
+		return dir
 	}
 	return bin
 }
 
 // useBinary sets the directory of the binary that boxes run from their next start on.
-func (b *testbed) useBinary(folder string, boxes ...string) {
+func (tb *testbed) useBinary(dir string, boxes ...string) {
 	for _, name := range boxes {
-		b.fleet.Boxes[name].Spec.Bin = folder
+		tb.fleet.Boxes[name].Spec.Bin = dir
 	}
 }
 
 // sendUntilServed retries a request until the answer is complete. A box with a slow disk may
 // refuse the request, but only as not run.
-func (b *testbed) sendUntilServed(box, prompt string, tokens int, headers ...string) reply {
-	b.t.Helper()
+func (tb *testbed) sendUntilServed(box, prompt string, tokens int, headers ...string) reply {
+	tb.t.Helper()
 	var r reply
-	b.waitFor(box+" serves "+prompt, func() bool {
+	tb.waitFor(box+" serves "+prompt, func() bool {
 		var err error
-		r, err = b.send(box, prompt, tokens, nil, headers...)
+		r, err = tb.send(box, prompt, tokens, nil, headers...)
 		if err == nil && r.status != 200 && r.err.Run != structs.RunNo {
-			b.t.Errorf("%s refused %s with %+v", box, prompt, r.err)
+			tb.t.Errorf("%s refused %s with %+v", box, prompt, r.err)
 		}
 		return err == nil && r.status == 200 && r.complete
 	})
@@ -47,11 +47,11 @@
 
 // accounts returns the state that operators can query, without the column that changes even
 // if there are no requests.
-func (b *testbed) accounts() map[string][]map[string]string {
-	b.t.Helper()
+func (tb *testbed) accounts() map[string][]map[string]string {
+	tb.t.Helper()
 	got := map[string][]map[string]string{}
 	for _, subject := range []string{"organisations", "groups", "budgets", "drains", "rollouts", "commands", "keys"} {
-		rows := b.query("show " + subject)
+		rows := tb.query("show " + subject)
 		for _, row := range rows {
 			delete(row, "unallotted")
 		}
@@ -68,35 +68,35 @@
 	for i := range specs {
 		specs[i].Bin = earlierBin()
 	}
-	b := newTestbed(t, specs, quickEngine, 3000)
+	tb := newTestbed(t, specs, quickEngine, 3000)
 	const key = "Idempotency-Key: dc-a:kept"
-	kept := b.sendUntilServed("box-a", "to be kept", 15, key)
-	for _, box := range b.fleet.Names() {
-		b.sendUntilServed(box, "demand", 20)
+	kept := tb.sendUntilServed("box-a", "to be kept", 15, key)
+	for _, box := range tb.fleet.Names() {
+		tb.sendUntilServed(box, "demand", 20)
 	}
-	b.command("rollout target-slots = 7")
-	b.command("drain target engine-dc-b")
-	b.waitFor("control has all bills", func() bool {
-		row := b.query("show groups")[0]
-		return row["reserved"] == "0" && b.query("show budgets")[0]["spent"] == strconv.Itoa(b.processedTokens())
+	tb.command("rollout target-slots = 7")
+	tb.command("drain target engine-dc-b")
+	tb.waitFor("control has all bills", func() bool {
+		row := tb.query("show groups")[0]
+		return row["reserved"] == "0" && tb.query("show budgets")[0]["spent"] == strconv.Itoa(tb.processedTokens())
 	})
-	before := b.accounts()
-	runs, _ := b.engineTotals()
-	for _, folder := range []string{bin, earlierBin()} {
-		for _, box := range b.fleet.Names() {
-			b.noError(b.fleet.Kill(box))
+	before := tb.accounts()
+	runs, _ := tb.engineTotals()
+	for _, dir := range []string{bin, earlierBin()} {
+		for _, box := range tb.fleet.Names() {
+			tb.noError(tb.fleet.Kill(box))
 		}
-		b.useBinary(folder, b.fleet.Names()...)
-		b.noError(b.fleet.StartAll())
-		b.noError(b.fleet.AwaitReady())
-		if diff := cmp.Diff(before, b.accounts()); diff != "" {
-			t.Errorf("the daemon in %s reads different accounts (- before, + after):\n%s", folder, diff)
+		tb.useBinary(dir, tb.fleet.Names()...)
+		tb.noError(tb.fleet.StartAll())
+		tb.noError(tb.fleet.AwaitReady())
+		if diff := cmp.Diff(before, tb.accounts()); diff != "" {
+			t.Errorf("the daemon in %s reads different accounts (- before, + after):\n%s", dir, diff)
 		}
-		if again := b.sendUntilServed("box-a", "to be kept", 15, key); again.text != kept.text || again.billed != kept.billed {
-			t.Errorf("the daemon in %s: replay of the key: got %+v, want %+v", folder, again, kept)
+		if again := tb.sendUntilServed("box-a", "to be kept", 15, key); again.text != kept.text || again.billed != kept.billed {
+			t.Errorf("the daemon in %s: replay of the key: got %+v, want %+v", dir, again, kept)
 		}
 	}
-	if after, _ := b.engineTotals(); after != runs {
+	if after, _ := tb.engineTotals(); after != runs {
 		t.Errorf("the engines ran an answered request %d more times", after-runs)
 	}
 }
@@ -117,35 +117,35 @@
 					}
 				}
 			}
-			b := newTestbed(t, specs, quickEngine, 3000)
-			for i, box := range b.fleet.Names() {
-				b.sendUntilServed(box, "demand", 20)
-				b.command("rollout target-slots = " + strconv.Itoa(7+i))
-				b.waitConfigured(b.fleet.Names()...)
+			tb := newTestbed(t, specs, quickEngine, 3000)
+			for i, box := range tb.fleet.Names() {
+				tb.sendUntilServed(box, "demand", 20)
+				tb.command("rollout target-slots = " + strconv.Itoa(7+i))
+				tb.waitConfigured(tb.fleet.Names()...)
 			}
 			const key = "Idempotency-Key: dc-a:of-both"
-			runs, _ := b.engineTotals()
-			first := b.sendUntilServed("box-a", "a text of both", 15, key)
-			for _, box := range b.fleet.Names() {
-				if r := b.sendUntilServed(box, "a text of both", 15, key); r.text != first.text {
+			runs, _ := tb.engineTotals()
+			first := tb.sendUntilServed("box-a", "a text of both", 15, key)
+			for _, box := range tb.fleet.Names() {
+				if r := tb.sendUntilServed(box, "a text of both", 15, key); r.text != first.text {
 					t.Errorf("%s answered the key with %q, box-a with %q", box, r.text, first.text)
 				}
 			}
-			if after, _ := b.engineTotals(); after != runs+1 {
+			if after, _ := tb.engineTotals(); after != runs+1 {
 				t.Errorf("the engines ran the request %d times, want once", after-runs)
 			}
-			leader := b.leader()
+			leader := tb.leader()
 			t.Logf("leader: %s", leader)
-			b.noError(b.fleet.Kill(leader))
-			b.waitFor("another box is the leader", func() bool { return b.findLeader(leader) != "" })
-			b.command("grant 1 to north/main")
-			b.noError(b.fleet.Start(leader))
-			b.noError(b.fleet.AwaitReady())
-			b.waitConfigured(b.fleet.Names()...)
-			t.Logf("leader: %s", b.leader())
-			b.waitFor("the accounts match the engines", func() bool {
-				row := b.query("show budgets")[0]
-				return row["granted"] == "3001" && row["reserved"] == "0" && row["spent"] == strconv.Itoa(b.processedTokens())
+			tb.noError(tb.fleet.Kill(leader))
+			tb.waitFor("another box is the leader", func() bool { return tb.findLeader(leader) != "" })
+			tb.command("grant 1 to north/main")
+			tb.noError(tb.fleet.Start(leader))
+			tb.noError(tb.fleet.AwaitReady())
+			tb.waitConfigured(tb.fleet.Names()...)
+			t.Logf("leader: %s", tb.leader())
+			tb.waitFor("the accounts match the engines", func() bool {
+				row := tb.query("show budgets")[0]
+				return row["granted"] == "3001" && row["reserved"] == "0" && row["spent"] == strconv.Itoa(tb.processedTokens())
 			})
 		})
 	}
