--- a/tests/soak/link_test.go
+++ b/tests/soak/link_test.go
@@ -11,34 +11,33 @@
 	"time"
 )
 
-// linkMode is what a link does to its connections.
+// linkMode is the fault that a link applies to its connections.
 type linkMode int
 
 const (
-	linkSound linkMode = iota
-	// linkDelayed holds every piece of bytes back for a time.
+	linkNormal linkMode = iota
+	// linkDelayed delays every read by linkDelay.
 	linkDelayed
-	// linkSilent takes bytes towards the server and passes none, and passes
-	// none back.
+	// linkSilent accepts bytes but forwards none in either direction.
 	linkSilent
-	// linkOneWay passes requests and no answers.
+	// linkOneWay forwards requests but no answers.
 	linkOneWay
 )
 
 const linkDelay = 150 * time.Millisecond
 
-// link is a loopback proxy before a server.
+// link is a loopback proxy in front of a server that injects network faults.
 type link struct {
-	address string
-	target  string
-	l       net.Listener
+	address  string
+	target   string
+	listener net.Listener
 
 	mu    sync.Mutex
 	mode  linkMode
 	conns map[net.Conn]bool
-	// open are the pairs of connections that are joined; a pair whose flag is set
-	// is silent for good.
-	open map[*atomic.Bool]bool
+	// muted has a flag for each open pair of connections; a pair whose flag is set
+	// forwards nothing for the rest of its life.
+	muted map[*atomic.Bool]bool
 }
 
 func newLink(target string) (*link, error) {
@@ -46,47 +45,47 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &link{address: l.Addr().String(), target: target, l: l, conns: map[net.Conn]bool{}, open: map[*atomic.Bool]bool{}}
+	k := &link{address: l.Addr().String(), target: target, listener: l, conns: map[net.Conn]bool{}, muted: map[*atomic.Bool]bool{}}
 	go k.accept()
 	return k, nil
 }
 
-func (k *link) accept() {
+func (l *link) accept() {
 	for {
-		c, err := k.l.Accept()
+		c, err := l.listener.Accept()
 		if err != nil {
 			return
 		}
-		go k.join(c)
+		go l.connect(c)
 	}
 }
 
-func (k *link) join(caller net.Conn) {
-	server, err := net.Dial("tcp", k.target)
+func (l *link) connect(caller net.Conn) {
+	server, err := net.Dial("tcp", l.target)
 	if err != nil {
 		_ = caller.Close()
 		return
 	}
 	muted := &atomic.Bool{}
-	k.mu.Lock()
-	k.conns[caller], k.conns[server] = true, true
-	k.open[muted] = true
-	k.mu.Unlock()
+	l.mu.Lock()
+	l.conns[caller], l.conns[server] = true, true
+	l.muted[muted] = true
+	l.mu.Unlock()
 	done := make(chan struct{}, 2)
-	go k.pass(server, caller, false, muted, done)
-	go k.pass(caller, server, true, muted, done)
+	go l.forward(server, caller, false, muted, done)
+	go l.forward(caller, server, true, muted, done)
 	<-done
 	_ = caller.Close()
 	_ = server.Close()
 	<-done
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	delete(k.open, muted)
-	delete(k.conns, caller)
-	delete(k.conns, server)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	delete(l.muted, muted)
+	delete(l.conns, caller)
+	delete(l.conns, server)
 }
 
-func (k *link) pass(to io.Writer, from io.Reader, answers bool, muted *atomic.Bool, done chan<- struct{}) {
+func (l *link) forward(to io.Writer, from io.Reader, answers bool, muted *atomic.Bool, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	buffer := make([]byte, 4096)
 	for {
@@ -97,7 +96,7 @@
 		if muted.Load() {
 			continue
 		}
-		for k.holds(answers) {
+		for l.mustWait(answers) {
 			time.Sleep(10 * time.Millisecond)
 		}
 		if _, err := to.Write(buffer[:n]); err != nil {
@@ -106,11 +105,11 @@
 	}
 }
 
-// holds tells whether bytes must wait; a delay is one wait.
-func (k *link) holds(answers bool) bool {
-	k.mu.Lock()
-	mode := k.mode
-	k.mu.Unlock()
+// mustWait reports whether bytes must still wait. A delayed link sleeps here once instead.
+func (l *link) mustWait(answers bool) bool {
+	l.mu.Lock()
+	mode := l.mode
+	l.mu.Unlock()
 	if mode == linkDelayed {
 		time.Sleep(linkDelay)
 		return false
@@ -118,26 +117,26 @@
 	return mode == linkSilent || mode == linkOneWay && answers
 }
 
-func (k *link) set(mode linkMode) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.mode = mode
+func (l *link) set(mode linkMode) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.mode = mode
 }
 
-// mute makes all open connections silent for good; new ones work.
-func (k *link) mute() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for muted := range k.open {
+// mute permanently stops forwarding on all open connections; new ones are unaffected.
+func (l *link) mute() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for muted := range l.muted {
 		muted.Store(true)
 	}
 }
 
-// reset resets all open connections.
-func (k *link) reset() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for c := range k.conns {
+// reset closes all open connections with a TCP reset.
+func (l *link) reset() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for c := range l.conns {
 		if tcp, ok := c.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0)
 		}
@@ -145,8 +144,8 @@
 	}
 }
 
-func (k *link) close() {
-	k.set(linkSound)
-	_ = k.l.Close()
-	k.reset()
+func (l *link) close() {
+	l.set(linkNormal)
+	_ = l.listener.Close()
+	l.reset()
 }
