--- a/models/lease/lease.go
+++ b/models/lease/lease.go
@@ -26,8 +26,8 @@
 	Left uint64
 	// Unallotted is the part that was not allotted to any box at that time.
 	Unallotted uint64
-	// AnsweredAt is the time of control's last answer. Asked is set once there was
-	// one.
+	// AnsweredAt is the time of control's last answer. HasAnswer is set once there
+	// was one.
 	AnsweredAt time.Duration
 	HasAnswer  bool
 	// need is the number of tokens that waiting requests lack.
@@ -115,9 +115,9 @@
 	return true
 }
 
-// CancelPending ends an announcement whose tokens were not used. If the limit on
-// unreported use allows them, they become an ordinary reservation and CancelPending
-// returns true; otherwise they are released.
+// CancelPending ends a pending reservation whose tokens were not used. If the limit
+// on unreported use allows them, it becomes an ordinary reservation and CancelPending
+// returns true; otherwise the tokens are released.
 func (t *Table) CancelPending(organisation string, tokens uint64, now time.Duration) bool {
 	l := t.Of(organisation)
 	if l.limit.available(now) >= float64(tokens) {
--- a/models/quarantine/unlisted_test.go
+++ b/models/quarantine/unlisted_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// BenchmarkHeld measures Held for a listed call with two ends observed by this box.
+// BenchmarkHeld measures HoldLeft for a listed call with two ends observed by this box.
 func BenchmarkHeld(b *testing.B) {
 	u, tb := &PendingEnds{}, NewTable()
 	tb.Apply(endReport(0, targetEnd(testContent(1), "t1", EarlyEnd), targetEnd(testContent(1), "t2", EarlyEnd)))
--- a/models/queue/queue.go
+++ b/models/queue/queue.go
@@ -63,14 +63,14 @@
 }
 
 // priorityClass holds the requests of one priority by organisation. work is the
-// sum of their Work.
+// sum of their MaxOutputTokens.
 type priorityClass struct {
 	byOrganisation map[string]*deadlineHeap
 	count          int
 	work           int
 }
 
-// Load is the sum of the waiting requests' Work by priority.
+// Load is the sum of the waiting requests' MaxOutputTokens by priority.
 type Load struct {
 	Interactive int
 	Batch       int
--- a/models/rate/statement.go
+++ b/models/rate/statement.go
@@ -27,7 +27,7 @@
 
 // Statement is a target's statement of how many sends it accepts from all boxes together.
 type Statement struct {
-	// Limit is in sends a second, None for no limit.
+	// Limit is in sends a second, Unlimited for no limit.
 	Limit float64
 	// The target made the statement between Sent, when the call was sent that it
 	// answered, and Received. Both are on the clock of the box that holds the statement.
@@ -80,8 +80,8 @@
 	return l.Statement.Limit != before
 }
 
-// Rate returns how many sends a second the target gets from the whole fleet at now, None
-// if there is no limit.
+// Rate returns how many sends a second the target gets from the whole fleet at now,
+// Unlimited if there is no limit.
 func (l *Limit) Rate(now time.Duration) float64 {
 	switch {
 	case !l.hasStatement:
--- a/models/routing/delta.go
+++ b/models/routing/delta.go
@@ -54,7 +54,7 @@
 	return changed, gone
 }
 
-// Patch applies a delta to the table it was made for, and fails with ErrOutOfStep for any
+// Patch applies a delta to the table it was made for, and fails with ErrBaseMismatch for any
 // other version. Unchanged rows are shared with the earlier table. The order of rows has
 // no meaning and may change.
 func Patch(from *statev1.RoutingTable, d *statev1.RoutingDelta) (*statev1.RoutingTable, error) {
@@ -95,7 +95,7 @@
 	return "the changes belong to another version of the routing table: ask for the whole table"
 }
 
-// IsErrBaseMismatch reports whether the cause of an error is an ErrOutOfStep.
+// IsErrBaseMismatch reports whether the cause of an error is an ErrBaseMismatch.
 func IsErrBaseMismatch(err error) bool {
 	_, ok := errors.Cause(err).(ErrBaseMismatch)
 	return ok
--- a/models/spread/limits.go
+++ b/models/spread/limits.go
@@ -60,7 +60,7 @@
 func (tb *Table) SetFleet(f rate.Fleet) { tb.fleet = f }
 
 // CurrentLimit returns how many requests a second all boxes together may send to a target
-// at now, rate.None if it has no limit.
+// at now, rate.Unlimited if it has no limit.
 func (tb *Table) CurrentLimit(t *Target, now time.Duration) float64 { return t.limit.Rate(now) }
 
 // HasLimit reports whether a target has a limit at now.
--- a/models/spread/limits_test.go
+++ b/models/spread/limits_test.go
@@ -16,7 +16,7 @@
 const limitsStart = 1000 * time.Second
 
 // newLimitedTable returns the table of the first of the boxes, with targets that have
-// stated a limit (none if perSecond is rate.None).
+// stated a limit (none if perSecond is rate.Unlimited).
 func newLimitedTable(boxes, targets int, perSecond float64) *Table {
 	tb := NewTable("dc")
 	var names []string
--- a/models/state/state.go
+++ b/models/state/state.go
@@ -77,8 +77,8 @@
 }
 
 // Apply applies one log entry and returns its result: a *statev1.CommandResult, a
-// SyncAnswer, a RegisterAnswer, a LeaseAnswer, the verdicts on calls, nil, or an
-// error if the entry can't be read.
+// SyncResult, a RegisterResult, a LeaseResult, the quarantine transitions of calls,
+// nil, or an error if the entry can't be read.
 func (s *State) Apply(e *statev1.Entry) any {
 	switch kind := e.GetKind().(type) {
 	case *statev1.Entry_Command:
--- a/models/target/choose.go
+++ b/models/target/choose.go
@@ -12,7 +12,8 @@
 type Criteria struct {
 	Model   string
 	Service string
-	// Blocks are the prompt's cache blocks, Prompt its estimated number of tokens.
+	// Blocks are the prompt's cache blocks, PromptTokens its
+	// estimated number of tokens.
 	Blocks       []Block
 	PromptTokens int
 	// Interactive requests may use the slots that are reserved for them.
--- a/models/target/target.go
+++ b/models/target/target.go
@@ -43,13 +43,13 @@
 	Drained bool
 	// LastListed is when the platform's list last contained the target.
 	LastListed time.Duration
-	// InFlight counts the requests of this box at the target, InFlightPrompt their
-	// prompt tokens.
+	// InFlight counts the requests of this box at the target, InFlightPromptTokens
+	// their prompt tokens.
 	InFlight             int
 	InFlightPromptTokens int
-	// ReportedRequests and ReportedPrompt are the requests and queued prompt tokens in the
-	// target's last load report, which arrived at ReportedAt. OwnThen is how many of
-	// the requests were this box's own.
+	// ReportedRequests and ReportedPromptTokens are the requests and queued prompt
+	// tokens in the target's last load report, which arrived at ReportedAt.
+	// OwnReported is how many of the requests were this box's own.
 	ReportedRequests     int
 	ReportedPromptTokens int
 	ReportedAt           time.Duration
--- a/services/control/quarantine.go
+++ b/services/control/quarantine.go
@@ -30,8 +30,8 @@
 	Logger  *slog.Logger
 }
 
-// Report commits a report with this box's time, sets its number and logs the
-// verdicts.
+// Report commits a report with this box's time, sets its number and logs
+// which calls are now held back or released.
 func (q *Quarantine) Report(ctx context.Context, r *statev1.ReportCalls) error {
 	r.At = q.Clock.Wall().UnixMilli()
 	answer, err := propose(ctx, q.Log, &statev1.Entry{Kind: &statev1.Entry_ReportCalls{ReportCalls: r}})
--- a/services/dispatch/dispatch.go
+++ b/services/dispatch/dispatch.go
@@ -132,7 +132,7 @@
 	Clock      clock.Clock
 	Recorder   *timeline.Recorder
 	Logger     *slog.Logger
-	// KeepAliveInterval is the time between calls of Sink.Alive for a queued request.
+	// KeepAliveInterval is the time between calls of Sink.KeepAlive for a queued request.
 	KeepAliveInterval time.Duration
 	// Seed initialises the random source of the routing policies.
 	Seed    int64
--- a/services/dispatch/keepers.go
+++ b/services/dispatch/keepers.go
@@ -15,7 +15,8 @@
 )
 
 // RemoteKeepers calls the ledgers of boxes: the one on this box directly, the others
-// over the network. It implements Keepers and keeper.Homes.
+// over the network. It implements Keepers and
+// keeper.HomeKeepers.
 type RemoteKeepers struct {
 	Self string
 	// Local is nil on a box without a ledger.
@@ -87,7 +88,7 @@
 	return call(ctx, k, box, r, betweenv1connect.KeeperServiceClient.Lookup)
 }
 
-// Claim implements keeper.Homes.
+// Claim implements keeper.HomeKeepers.
 func (k *RemoteKeepers) Claim(ctx context.Context, box string, r *betweenv1.ClaimRequest) (*betweenv1.ClaimResponse, error) {
 	return call(ctx, k, box, r, betweenv1connect.KeeperServiceClient.Claim)
 }
--- a/services/dispatch/slots.go
+++ b/services/dispatch/slots.go
@@ -111,8 +111,8 @@
 	return nil
 }
 
-// acquire waits for a slot. Meanwhile it calls alive every AliveInterval with the number
-// of requests ahead, and leaves the queue if alive returns an error.
+// acquire waits for a slot. Meanwhile it calls alive every KeepAliveInterval with the
+// number of requests ahead, and leaves the queue if alive returns an error.
 func (d *Dispatcher) acquire(ctx context.Context, it queue.Item, need target.Criteria, alive func(position int) error) (*slot, *Refusal) {
 	w := &queuedRequest{item: it, need: need, slots: make(chan *slot, 1), tooLate: make(chan struct{})}
 	w.item.Payload = w
--- a/services/forward/call.go
+++ b/services/forward/call.go
@@ -66,11 +66,12 @@
 	MaxWait time.Duration
 	// LastEvent is the id of the last event that the caller has received, -1 for none.
 	LastEvent int64
-	// InputTokens is the number of prompt tokens, Output the maximum number of generated tokens.
+	// InputTokens is the number of prompt tokens, MaxOutputTokens the maximum number of
+	// generated tokens.
 	InputTokens     uint64
 	MaxOutputTokens uint64
-	// UnsharedTokens is the number of prompt tokens after the shared prefix; only calls of the same
-	// session share them.
+	// UnsharedTokens is the number of prompt tokens after the shared prefix; only
+	// calls of the same session share them.
 	UnsharedTokens uint64
 	// Affinity is the hash of the prompt prefix that is shared with other calls.
 	Affinity uint64
--- a/services/forward/limits.go
+++ b/services/forward/limits.go
@@ -120,7 +120,7 @@
 	x.recordLimit(perSecond, text)
 }
 
-// recordLimit records a limit that a target announced; rate.None if it announced none.
+// recordLimit records a limit that a target announced; rate.Unlimited if it announced none.
 func (x *exchange) recordLimit(perSecond float64, text string) {
 	f, t := x.f, x.conn.target
 	f.mu.Lock()
--- a/services/forward/move_test.go
+++ b/services/forward/move_test.go
@@ -17,7 +17,7 @@
 	"havenwinch.dev/havenwinch/models/spread"
 )
 
-// testOrders implements EngineOrders.
+// testOrders implements EngineAPI.
 type testOrders struct{}
 
 func (testOrders) Copy(call, address string, stop bool) (string, []byte) {
--- a/services/gateway/report.go
+++ b/services/gateway/report.go
@@ -93,7 +93,7 @@
 	if index == nil {
 		return nil
 	}
-	// The placement calls Holders while it holds its own lock. Called with l.mu held, it
+	// The placement calls EntryBoxCount while it holds its own lock. Called with l.mu held, it
 	// caused a deadlock, after which the box answered no requests.
 	news := l.Placement != nil && l.Placement.HasLimits()
 	l.mu.Lock()
--- a/services/keeper/keeper.go
+++ b/services/keeper/keeper.go
@@ -31,7 +31,7 @@
 	Sync(ctx context.Context, r *betweenv1.SyncRequest) (*betweenv1.SyncResponse, error)
 }
 
-// HomeKeepers calls other keepers to claim keys whose home they are.
+// HomeKeepers calls the home keepers of idempotency keys to claim these.
 type HomeKeepers interface {
 	Claim(ctx context.Context, box string, r *betweenv1.ClaimRequest) (*betweenv1.ClaimResponse, error)
 }
