--- a/models/spread/health.go
+++ b/models/spread/health.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// RecordOutcome records the outcome of a call that reached its target. It reports whether the
-// target has now been banned as an outlier.
+// RecordOutcome records the outcome of a call that reached its target. It reports whether
+// the target has now been banned as an outlier.
 func (tb *Table) RecordOutcome(t *Target, failed bool, now time.Duration) bool {
 	outcome := 0.0
 	if failed {
@@ -80,7 +80,7 @@
 	}
 	t.outlier = true
 	t.bannedUntil = max(t.bannedUntil, now+outlierBan)
-	// The record starts anew, so that a few successful calls suffice after the ban.
+	// The failure rate is reset, so that a few successful calls suffice after the ban.
 	t.outcomeCount, t.failureRate = 0, 0
 	return true
 }
@@ -106,8 +106,8 @@
 	return t.failureRate > outlierFailureRate && t.failureRate > mean+outlierMargin
 }
 
-// DueForProbe returns the unreachable targets whose ban has ended at now. They are due for
-// a probe.
+// DueForProbe returns the unreachable targets whose ban has ended at now. Each is to be
+// probed with a trial connection.
 func (tb *Table) DueForProbe(now time.Duration) []*Target {
 	var due []*Target
 	for _, t := range tb.byID {
@@ -134,7 +134,7 @@
 // EndOf returns what is known of a target's end.
 func (tb *Table) EndOf(t *Target) EndKind {
 	switch {
-	case t.hasLeft:
+	case t.hasAnnouncedEnd:
 		return EndAnnounced
 	case t.replaced:
 		return EndReplaced
--- a/models/spread/limits.go
+++ b/models/spread/limits.go
@@ -30,7 +30,8 @@
 	maxRetrySpread = 10 * time.Second
 )
 
-// limitPressure tracks the calls of a service that find the shares of all targets used up.
+// limitPressure tracks the calls of a service that arrive while this box's shares of all
+// its targets are used up.
 type limitPressure struct {
 	// refused counts this box's refused calls, decayed with refusalDecay as of
 	// updated.
@@ -47,9 +48,8 @@
 // Backoff says what to do with a call while the limits of all targets of its service keep
 // this box from sending.
 type Backoff struct {
-	// Wait is how long the call is to wait for a reserved place in the next window;
-	// the end of the wait must be reported to the table. Zero means that the call is
-	// refused.
+	// Wait is how long the call is to wait for its place in the next window; the caller
+	// must call EndWait after it. Zero means that the call is refused.
 	Wait time.Duration
 	// A refused call may be retried after the first of these times. Retries of several
 	// calls are to be spread over the second one, which follows the first.
@@ -75,14 +75,15 @@
 }
 
 // AcquireSend counts a request that is about to be sent to a target and reports whether it
-// may be sent. An owed request is always sent, and is taken off the shares of later
-// windows: it continues a run that another target has already given up.
-func (tb *Table) AcquireSend(t *Target, owed bool, now time.Duration) bool {
+// may be sent. With force set it always may, and what exceeds this box's share is
+// deducted from the shares of later windows: such a request continues a run that another
+// target has already stopped.
+func (tb *Table) AcquireSend(t *Target, force bool, now time.Duration) bool {
 	limit := t.limit.Rate(now)
 	switch {
 	case limit == rate.Unlimited:
 		t.meter.Count(tb.fleet, now)
-	case owed:
+	case force:
 		t.meter.ForceCount(tb.fleet, limit, t.hash, now)
 	default:
 		return t.meter.Acquire(tb.fleet, limit, t.hash, now)
@@ -90,8 +91,8 @@
 	return true
 }
 
-// RecordStatement records a statement that a target made to this box. It reports whether the
-// limit has been queued for announcement to the other boxes.
+// RecordStatement records a statement that a target made to this box. It reports whether
+// the limit has been queued for announcement to the other boxes.
 func (tb *Table) RecordStatement(t *Target, s rate.Statement) (announce bool) {
 	t.limit.Update(s)
 	if t.limit.Statement != s {
@@ -147,10 +148,10 @@
 // HasAnnouncements reports whether limits are queued for announcement to the other boxes.
 func (tb *Table) HasAnnouncements() bool { return len(tb.unannounced) > 0 }
 
-// TakeAnnouncements removes up to most targets from the announcement queue and returns them,
-// oldest first. Their limits count as known to the other boxes from then on.
-func (tb *Table) TakeAnnouncements(most int) []*Target {
-	n := min(most, len(tb.unannounced))
+// TakeAnnouncements removes up to maxTargets targets from the announcement queue and
+// returns them, oldest first. Their limits count as known to the other boxes from then on.
+func (tb *Table) TakeAnnouncements(maxTargets int) []*Target {
+	n := min(maxTargets, len(tb.unannounced))
 	list := tb.unannounced[:n:n]
 	tb.unannounced = tb.unannounced[n:]
 	for _, t := range list {
@@ -185,9 +186,9 @@
 // mayUseLimited reports whether a call may be sent to targets with limits if there are
 // no others. While more urgent calls are refused, it may be only in the second half of
 // each window.
-func (tb *Table) mayUseLimited(need Criteria, now time.Duration) bool {
-	s := tb.pressure[need.Service]
-	if s == nil || need.Rank <= s.topRank || now-s.topRankSeen > refusalDecay {
+func (tb *Table) mayUseLimited(criteria Criteria, now time.Duration) bool {
+	s := tb.pressure[criteria.Service]
+	if s == nil || criteria.Rank <= s.topRank || now-s.topRankSeen > refusalDecay {
 		return true
 	}
 	at, length := tb.fleet.Phase(now)
@@ -195,65 +196,66 @@
 }
 
 // IsExhausted reports whether limits keep this box from sending to any target of a call's
-// service now, and if so what to do with the call.
-func (tb *Table) IsExhausted(need Criteria, now time.Duration) (Backoff, bool) {
-	for _, t := range tb.services[need.Service] {
-		if tb.isUsable(t, need) && t.bannedUntil <= now && !tb.HasLimit(t, now) {
+// service now, and if so what to do with the call. A call that is to wait is counted as
+// waiting until EndWait.
+func (tb *Table) IsExhausted(criteria Criteria, now time.Duration) (Backoff, bool) {
+	for _, t := range tb.services[criteria.Service] {
+		if tb.isUsable(t, criteria) && t.bannedUntil <= now && !tb.HasLimit(t, now) {
 			return Backoff{}, false
 		}
 	}
-	found := tb.candidates(need, now)
+	found := tb.candidates(criteria, now)
 	if len(found.sendable) > 0 || len(found.exhausted) == 0 {
 		return Backoff{}, false
 	}
-	return tb.waitOrRefuse(need, found.exhausted, now), true
+	return tb.waitOrRefuse(criteria, found.exhausted, now), true
 }
 
 // waitOrRefuse decides what to do with a call that can't be sent now because of limits. The
-// call waits for the next window if that begins within its patience and has a place
-// left beside the calls that are waiting already. Otherwise it is refused, with a time
-// to retry.
-func (tb *Table) waitOrRefuse(need Criteria, exhausted []*Target, now time.Duration) (w Backoff) {
-	s := tb.pressure[need.Service]
+// call waits for the next window if that begins within MaxWait and the box's share of it
+// exceeds the calls that are waiting already. Otherwise it is refused, with a time to
+// retry.
+func (tb *Table) waitOrRefuse(criteria Criteria, exhausted []*Target, now time.Duration) (b Backoff) {
+	s := tb.pressure[criteria.Service]
 	if s == nil {
 		s = &limitPressure{}
-		tb.pressure[need.Service] = s
+		tb.pressure[criteria.Service] = s
 	}
-	opens, part := tb.nextShare(exhausted, now)
-	if part > s.waiting && opens-now <= need.MaxWait {
+	opens, share := tb.nextShare(exhausted, now)
+	if share > s.waiting && opens-now <= criteria.MaxWait {
 		s.waiting++
 		return Backoff{Wait: opens - now}
 	}
 	s.refused = s.refused*math.Exp(-float64(now-s.updated)/float64(refusalDecay)) + 1
 	s.updated = now
-	if need.Rank <= s.topRank || now-s.topRankSeen > refusalDecay {
-		s.topRank, s.topRankSeen = need.Rank, now
+	if criteria.Rank <= s.topRank || now-s.topRankSeen > refusalDecay {
+		s.topRank, s.topRankSeen = criteria.Rank, now
 	}
-	taken := 0.0
+	perSecond := 0.0
 	for _, t := range exhausted {
-		taken += t.limit.Rate(now)
+		perSecond += t.limit.Rate(now)
 	}
-	wait := s.refused * float64(max(1, need.Boxes)) / max(rate.MinRate, taken)
+	seconds := s.refused * float64(max(1, criteria.Boxes)) / max(rate.MinRate, perSecond)
 	at, length := tb.fleet.Phase(now)
-	w.RetryAfter = length - at
-	w.RetrySpread = max(minRetrySpread, time.Duration(min(wait, maxRetrySpread.Seconds())*float64(time.Second)))
-	return w
+	b.RetryAfter = length - at
+	b.RetrySpread = max(minRetrySpread, time.Duration(min(seconds, maxRetrySpread.Seconds())*float64(time.Second)))
+	return b
 }
 
-// nextShare returns when the shares of some of the targets are next renewed, and how many
-// requests this box may then send to these.
-func (tb *Table) nextShare(exhausted []*Target, now time.Duration) (at time.Duration, part int64) {
+// nextShare returns when the next window begins in which this box may send to any of the
+// targets, and how many requests it may then send to them.
+func (tb *Table) nextShare(exhausted []*Target, now time.Duration) (opens time.Duration, share int64) {
 	for _, t := range exhausted {
-		begins, own := t.meter.NextShare(tb.fleet, t.limit.Rate(now), t.hash, now)
+		begins, requests := t.meter.NextShare(tb.fleet, t.limit.Rate(now), t.hash, now)
 		switch {
-		case own == 0 || part > 0 && begins > at:
-		case part > 0 && begins == at:
-			part += own
+		case requests == 0 || share > 0 && begins > opens:
+		case share > 0 && begins == opens:
+			share += requests
 		default:
-			at, part = begins, own
+			opens, share = begins, requests
 		}
 	}
-	return at, part
+	return opens, share
 }
 
 // EndWait records that a call has ended its wait for the next window.
--- a/models/spread/limits_test.go
+++ b/models/spread/limits_test.go
@@ -37,8 +37,8 @@
 
 // send chooses a target for a call and counts the request, and reports whether it may
 // be sent.
-func send(tb *Table, need Criteria, now time.Duration) (Choice, bool) {
-	c := tb.Choose(need, now)
+func send(tb *Table, criteria Criteria, now time.Duration) (Choice, bool) {
+	c := tb.Choose(criteria, now)
 	return c, c.Target != nil && tb.AcquireSend(c.Target, false, now)
 }
 
@@ -72,18 +72,18 @@
 
 // A call waits for the next window only if that has a place for it beside the calls
 // that are already waiting.
-func TestCallsWaitForRoomThatIsThere(t *testing.T) {
+func TestCallsWaitOnlyForFreeShares(t *testing.T) {
 	tb := newLimitedTable(1, 2, 4)
-	need := Criteria{Service: "s", MaxWait: 600 * time.Millisecond}
+	criteria := Criteria{Service: "s", MaxWait: 600 * time.Millisecond}
 	for range 4 {
-		if _, ok := send(tb, need, limitsStart); !ok {
+		if _, ok := send(tb, criteria, limitsStart); !ok {
 			t.Fatal("call within the limit was not sent")
 		}
 	}
 	now := limitsStart + 100*time.Millisecond
 	waiting, refused := 0, 0
 	for range 6 {
-		c, _ := send(tb, need, now)
+		c, _ := send(tb, criteria, now)
 		switch {
 		case c.Backoff.Wait == 400*time.Millisecond:
 			waiting++
@@ -96,19 +96,19 @@
 	}
 	for range waiting {
 		tb.EndWait("s")
-		if _, ok := send(tb, need, limitsStart+500*time.Millisecond); !ok {
+		if _, ok := send(tb, criteria, limitsStart+500*time.Millisecond); !ok {
 			t.Fatal("call was not sent after its wait")
 		}
 	}
 	impatient := Criteria{Service: "s", MaxWait: 100 * time.Millisecond}
 	if c, _ := send(tb, impatient, limitsStart+600*time.Millisecond); c.Backoff.Wait != 0 {
-		t.Fatal("call waits longer than its patience")
+		t.Fatal("call waits longer than its MaxWait")
 	}
 }
 
 // The time over which retries are spread grows with the number of refused calls, up to
 // a bound.
-func TestComingBackIsSpread(t *testing.T) {
+func TestRetriesAreSpread(t *testing.T) {
 	tb := newLimitedTable(6, 1, 1)
 	now := limitsStart
 	var last time.Duration
@@ -133,25 +133,25 @@
 func TestLimitedTargetsAreNotDedicated(t *testing.T) {
 	tb := newLimitedTable(1, 6, rate.Unlimited)
 	r := tb.prefillOf("s")
-	r.perToken, r.streamsSuffer = float64(time.Millisecond), true
+	r.perToken, r.needsDedicated = float64(time.Millisecond), true
 	tb.SetFleetPrefillLoad("s", 10*time.Second, limitsStart)
-	need := Criteria{Service: "s", UnsharedTokens: 4000, MaxPause: 100 * time.Millisecond}
-	first := tb.Choose(need, limitsStart)
+	criteria := Criteria{Service: "s", UnsharedTokens: 4000, MaxPause: 100 * time.Millisecond}
+	first := tb.Choose(criteria, limitsStart)
 	if !first.IsDedicated || len(first.Dedicated) != 2 {
 		t.Fatalf("long prompt was placed as %+v", first)
 	}
-	for _, reader := range first.Dedicated {
-		tb.RecordStatement(reader, rate.Statement{Limit: 5, Received: limitsStart})
+	for _, tg := range first.Dedicated {
+		tb.RecordStatement(tg, rate.Statement{Limit: 5, Received: limitsStart})
 	}
-	for _, reader := range tb.Choose(need, limitsStart).Dedicated {
-		if tb.HasLimit(reader, limitsStart) {
-			t.Fatalf("%s has a limit and is dedicated to long prompts", reader.ID)
+	for _, tg := range tb.Choose(criteria, limitsStart).Dedicated {
+		if tb.HasLimit(tg, limitsStart) {
+			t.Fatalf("%s has a limit and is dedicated to long prompts", tg.ID)
 		}
 	}
 }
 
 // A limit applies only to the start of a target that has stated it.
-func TestALimitIsOfOneStart(t *testing.T) {
+func TestLimitAppliesToOneStart(t *testing.T) {
 	tb := newLimitedTable(1, 1, 1)
 	row := &statev1.RegisteredTarget{Id: "t0", Service: "s", Address: "10.0.0.1:0", DataCentre: "dc", State: statev1.RegisteredTarget_STATE_READY, Born: 7}
 	tb.Put(row)
@@ -167,7 +167,7 @@
 }
 
 // After the end of a limit the rate to the target is raised step by step.
-func TestALimitThatEndsIsLeftStepByStep(t *testing.T) {
+func TestRateRisesInStepsAfterLimitEnds(t *testing.T) {
 	tb := newLimitedTable(1, 1, 2)
 	tg := tb.services["s"][0]
 	tb.RecordStatement(tg, rate.Statement{Limit: rate.Unlimited, Sent: limitsStart, Received: limitsStart})
--- a/models/spread/prefill.go
+++ b/models/spread/prefill.go
@@ -74,16 +74,17 @@
 	fleetTotal    time.Duration
 	fleetTotalAt  time.Duration
 	hasFleetTotal bool
-	// dedicated is how many targets the load calls for, before the bound by dedicatedDivisor.
+	// dedicated is how many targets the load requires, before the bound by
+	// dedicatedDivisor.
 	dedicated int
-	// latePauseShare is the smoothed share of this box's streams with too long a pause;
-	// streamsSuffer is set while it is too high (dedicateAbove, releaseBelow).
+	// latePauseShare is the smoothed share of this box's streams with too long a pause.
+	// needsDedicated is set while it is too high, from dedicateAbove until releaseBelow.
 	latePauseShare float64
-	streamsSuffer  bool
+	needsDedicated bool
 }
 
-// recordPrefill updates the prefill speed with the time from a call to its first event. Short
-// prompts are ignored.
+// recordPrefill updates the prefill speed with the time from a call to its first event.
+// Short prompts are ignored.
 func (r *prefillStats) recordPrefill(tokens int, first time.Duration) {
 	if tokens < minSampleTokens || first <= 0 {
 		return
@@ -109,9 +110,9 @@
 	r.latePauseShare += pauseWeight * (late - r.latePauseShare)
 	switch {
 	case r.latePauseShare > dedicateAbove:
-		r.streamsSuffer = true
+		r.needsDedicated = true
 	case r.latePauseShare < releaseBelow:
-		r.streamsSuffer = false
+		r.needsDedicated = false
 	}
 }
 
@@ -143,10 +144,10 @@
 	r.busy += float64(d)
 }
 
-// load returns the prefill time of this box's long prompts per second, zero while its
-// streams don't suffer from them.
+// load returns the prefill time of this box's long prompts per second, zero while too few
+// of its streams have too long a pause for dedicated targets.
 func (r *prefillStats) load(now time.Duration) time.Duration {
-	if !r.streamsSuffer {
+	if !r.needsDedicated {
 		return 0
 	}
 	r.decay(now)
@@ -171,8 +172,8 @@
 	return min(targets/dedicatedDivisor, r.dedicated)
 }
 
-// RecordStreamPause records the longest pause of a stream from a target, and the longest pause
-// that its route allows; a limit of zero means that there is none.
+// RecordStreamPause records the longest pause of a stream from a target, and the longest
+// pause that its route allows; a limit of zero means that there is none.
 func (tb *Table) RecordStreamPause(t *Target, pause, limit time.Duration) {
 	if limit > 0 {
 		tb.prefillOf(t.Service).recordStream(pause, limit)
--- a/models/spread/prefill_test.go
+++ b/models/spread/prefill_test.go
@@ -10,9 +10,9 @@
 
 const testPause = 500 * time.Millisecond
 
-// newSufferingTable returns a table of 12 targets that prefill 40 tokens in a millisecond, and
-// whose streams all suffer from long prompts.
-func newSufferingTable() *Table {
+// newTableWithLatePauses returns a table of 12 targets that prefill 40 tokens in a
+// millisecond, and whose streams all have too long a pause.
+func newTableWithLatePauses() *Table {
 	tb := newTestTable(12)
 	for range 20 {
 		tb.RecordPrefill(tb.byID["t0"], 4000, 100*time.Millisecond)
@@ -32,10 +32,10 @@
 	}
 }
 
-// newSparedTable returns a table like that of newSufferingTable, but whose streams don't
-// suffer from long prompts.
-func newSparedTable() *Table {
-	tb := newSufferingTable()
+// newTableWithoutLatePauses returns a table like that of newTableWithLatePauses, but none
+// of whose streams has too long a pause.
+func newTableWithoutLatePauses() *Table {
+	tb := newTableWithLatePauses()
 	recordStreams(tb, 1<<20)
 	return tb
 }
@@ -45,28 +45,28 @@
 }
 
 func TestLongPromptsGoToDedicatedTargets(t *testing.T) {
-	tb := newSufferingTable()
-	readers := map[string]bool{}
+	tb := newTableWithLatePauses()
+	dedicated := map[string]bool{}
 	for key := uint64(1); key < 30; key++ {
 		c := tb.Choose(longPrompt(key), 0)
 		if !c.IsDedicated || c.AffinityTarget == nil || c.AffinityTarget == c.Target {
 			t.Fatalf("long prompt was placed as %+v", c)
 		}
-		readers[c.Target.ID] = true
+		dedicated[c.Target.ID] = true
 	}
-	if len(readers) == 0 || len(readers) > 12/dedicatedDivisor {
-		t.Fatalf("long prompts went to %v, want at most a third of the targets", readers)
+	if len(dedicated) == 0 || len(dedicated) > 12/dedicatedDivisor {
+		t.Fatalf("long prompts went to %v, want at most a third of the targets", dedicated)
 	}
 	for key := uint64(1); key < 100; key++ {
 		short := Criteria{Service: "s", Affinity: key, UnsharedTokens: 600, MaxPause: testPause, Boxes: 7}
-		if c := tb.Choose(short, 0); c.IsDedicated || readers[c.Target.ID] {
+		if c := tb.Choose(short, 0); c.IsDedicated || dedicated[c.Target.ID] {
 			t.Fatalf("short prompt went to %s, which is dedicated to long ones", c.Target.ID)
 		}
 	}
 }
 
 func TestDedicatedTargetsAreReleasedWithoutLongPrompts(t *testing.T) {
-	tb := newSufferingTable()
+	tb := newTableWithLatePauses()
 	tb.Choose(longPrompt(1), 0)
 	used := map[string]bool{}
 	for key := uint64(1); key < 300; key++ {
@@ -79,18 +79,18 @@
 
 func TestNoDedicatedTargets(t *testing.T) {
 	tests := map[string]struct {
-		table *Table
-		need  Criteria
+		table    *Table
+		criteria Criteria
 	}{
-		"prefill speed unknown": {table: newTestTable(12), need: longPrompt(1)},
-		"no stream suffers":     {table: newSparedTable(), need: longPrompt(1)},
-		"short prompt":          {table: newSufferingTable(), need: Criteria{Service: "s", UnsharedTokens: 4000, MaxPause: testPause}},
-		"no bound on pauses":    {table: newSufferingTable(), need: Criteria{Service: "s", UnsharedTokens: 40000}},
-		"too few targets":       {table: newTestTable(dedicatedDivisor - 1), need: longPrompt(1)},
+		"prefill speed unknown":      {table: newTestTable(12), criteria: longPrompt(1)},
+		"no stream with late pauses": {table: newTableWithoutLatePauses(), criteria: longPrompt(1)},
+		"short prompt":               {table: newTableWithLatePauses(), criteria: Criteria{Service: "s", UnsharedTokens: 4000, MaxPause: testPause}},
+		"no bound on pauses":         {table: newTableWithLatePauses(), criteria: Criteria{Service: "s", UnsharedTokens: 40000}},
+		"too few targets":            {table: newTestTable(dedicatedDivisor - 1), criteria: longPrompt(1)},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			if c := test.table.Choose(test.need, 0); c.Target == nil || c.IsDedicated {
+			if c := test.table.Choose(test.criteria, 0); c.Target == nil || c.IsDedicated {
 				t.Fatalf("prompt was placed as %+v", c)
 			}
 		})
@@ -98,7 +98,7 @@
 }
 
 func TestPrefillSpeedExcludesQueueing(t *testing.T) {
-	tb := newSufferingTable()
+	tb := newTableWithLatePauses()
 	// Every other prompt takes ten times as long, as if it had been queued.
 	for i := range 200 {
 		first := 100 * time.Millisecond
@@ -125,9 +125,9 @@
 		return time.Duration(targets * dedicatedUtilisation * float64(time.Second))
 	}
 	steps := []struct {
-		name    string
-		load    time.Duration
-		readers int
+		name string
+		load time.Duration
+		want int
 	}{
 		{"load of one", seconds(0.9), 1},
 		{"load of three", seconds(2.5), 3},
@@ -136,13 +136,13 @@
 		{"more than a third of all", seconds(9), 4},
 		{"no load", 0, 0},
 	}
-	busy, idle := newSufferingTable(), newSufferingTable()
+	busy, idle := newTableWithLatePauses(), newTableWithLatePauses()
 	busy.Choose(longPrompt(1), 0)
 	for _, step := range steps {
 		for name, tb := range map[string]*Table{"busy": busy, "idle": idle} {
 			tb.SetFleetPrefillLoad("s", step.load, time.Second)
-			if got := tb.prefillOf("s").dedicatedTargets(12, 7, time.Second); got != step.readers {
-				t.Errorf("%s, %s box: %d dedicated targets, want %d", step.name, name, got, step.readers)
+			if got := tb.prefillOf("s").dedicatedTargets(12, 7, time.Second); got != step.want {
+				t.Errorf("%s, %s box: %d dedicated targets, want %d", step.name, name, got, step.want)
 			}
 		}
 	}
@@ -154,20 +154,20 @@
 	}
 }
 
-// Targets are dedicated to long prompts only while streams suffer from these.
+// Targets are dedicated to long prompts only while enough streams have too long a pause.
 func TestDedicatedTargetsDependOnStreams(t *testing.T) {
 	steps := []struct {
 		name        string
 		every       int
 		isDedicated bool
 	}{
-		{"many streams suffer", 5, true},
-		{"few suffer with dedicated targets", 50, true},
-		{"none suffers", 1 << 20, false},
-		{"few suffer again", 50, false},
-		{"many suffer again", 10, true},
+		{"many late pauses", 5, true},
+		{"few late pauses with dedicated targets", 50, true},
+		{"none with late pauses", 1 << 20, false},
+		{"few late pauses again", 50, false},
+		{"many late pauses again", 10, true},
 	}
-	tb := newSufferingTable()
+	tb := newTableWithLatePauses()
 	for _, step := range steps {
 		recordStreams(tb, step.every)
 		tb.Choose(longPrompt(1), 0)
--- a/models/spread/spread.go
+++ b/models/spread/spread.go
@@ -43,12 +43,12 @@
 
 // Target is one start (one run of the process) of a registered target, as this box
 // sees it. Its id, start time, service, address and data centre never change, so that
-// calls may read them without the table's lock. A target that has moved or restarted gets a new
-// Target, which inherits nothing.
+// calls may read them without the table's lock. A target that has moved or restarted gets
+// a new Target, which inherits nothing.
 type Target struct {
 	ID string
 	// Born is when the target started, in Unix milliseconds by its own clock; zero if
-	// it has not said.
+	// its registration has no start time.
 	Born       int64
 	Service    string
 	Address    string
@@ -70,16 +70,16 @@
 	// once it has stated any limit.
 	peerLimit                                     float64
 	isPeerLimitKnown, unannounced, hasStatedLimit bool
-	// CallsSent counts this box's calls to the target, InternalSent the queries and orders
-	// that this box sent on its own behalf.
+	// CallsSent counts this box's calls to the target, InternalSent the requests that the
+	// box made on its own behalf: load reports, copies and releases.
 	CallsSent, InternalSent uint64
 
 	hash  uint64
 	start string
-	// replaced is set once another target answers at the address, hasLeft once the target
+	// replaced is set once another target answers at the address, hasAnnouncedEnd once the target
 	// has announced its end.
-	replaced bool
-	hasLeft  bool
+	replaced        bool
+	hasAnnouncedEnd bool
 	// unreachableBans counts the bans for being unreachable since the target was last
 	// reached.
 	unreachableBans int
@@ -92,8 +92,8 @@
 	failureRate  float64
 }
 
-// StartIdentity identifies this start of the target: by id and start time, or by the id alone
-// if the start time is not known.
+// StartIdentity identifies this start of the target: by id and start time, or by the id
+// alone if the start time is not known.
 func (t *Target) StartIdentity() string { return t.start }
 
 func startIdentity(id string, born int64) string {
@@ -103,8 +103,8 @@
 	return id + "@" + strconv.FormatInt(born, 10)
 }
 
-// Unreachable reports whether the target could not be reached when last tried.
-func (t *Target) Unreachable() bool { return t.unreachableBans > 0 }
+// IsUnreachable reports whether the target could not be reached when last tried.
+func (t *Target) IsUnreachable() bool { return t.unreachableBans > 0 }
 
 // Table holds the targets by service. It is not safe for concurrent use.
 type Table struct {
@@ -143,7 +143,7 @@
 		tb.insert(t)
 	}
 	t.Draining = row.GetState() == statev1.RegisteredTarget_STATE_DRAINING
-	t.hasLeft = t.hasLeft || t.Draining
+	t.hasAnnouncedEnd = t.hasAnnouncedEnd || t.Draining
 }
 
 // insert adds a target to its service, in the order of hashes.
@@ -192,9 +192,9 @@
 	Boxes int
 	// Exclude names the starts of targets that have had the call.
 	Exclude map[string]bool
-	// Rank is the urgency of the call, zero being the most urgent. Patience is how long
-	// it may wait for a target whose limit is used up.
-	Rank    uint32
+	// Rank is the urgency of the call, zero being the most urgent.
+	Rank uint32
+	// MaxWait is how long the call may wait for a target whose limit is used up.
 	MaxWait time.Duration
 }
 
@@ -204,10 +204,11 @@
 	Target *Target
 	// IsDedicated is set if the prompt is long and Target is dedicated to long prompts.
 	IsDedicated bool
-	// Dedicated are the dedicated targets to ask for their queues, for a long prompt.
+	// Dedicated are the dedicated targets whose queues are to be queried before a long
+	// prompt is sent.
 	Dedicated []*Target
-	// AffinityTarget is the target that a long prompt would have had without dedicated targets; nil
-	// for other calls.
+	// AffinityTarget is the target that a long prompt would have had without dedicated
+	// targets; nil for other calls.
 	AffinityTarget *Target
 	// CacheSource is the target from which the cache of the shared prefix can be copied, nil
 	// if that is Target itself or the prompt has no shared prefix.
@@ -222,36 +223,36 @@
 
 // Choose returns the target for a call. Draining targets are never chosen, and banned
 // ones only if all others are banned as well.
-func (tb *Table) Choose(need Criteria, now time.Duration) Choice {
+func (tb *Table) Choose(criteria Criteria, now time.Duration) Choice {
 	c := Choice{}
-	found := tb.candidates(need, now)
+	found := tb.candidates(criteria, now)
 	candidates := found.sendable
 	c.LimitedTargets = len(found.exhausted)
 	if len(candidates) == 0 {
 		if c.LimitedTargets > 0 {
-			c.Backoff = tb.waitOrRefuse(need, found.exhausted, now)
+			c.Backoff = tb.waitOrRefuse(criteria, found.exhausted, now)
 		}
 		return c
 	}
-	r := tb.prefillOf(need.Service)
-	c.PrefillTime = r.prefillTime(need.UnsharedTokens)
-	long := need.MaxPause > 0 && float64(c.PrefillTime) > longPrefillShare*float64(need.MaxPause)
+	r := tb.prefillOf(criteria.Service)
+	c.PrefillTime = r.prefillTime(criteria.UnsharedTokens)
+	long := criteria.MaxPause > 0 && float64(c.PrefillTime) > longPrefillShare*float64(criteria.MaxPause)
 	if long {
 		r.addLongPrompt(c.PrefillTime, now)
 	}
 	// Targets with limits come last and are never dedicated to long prompts: the set of
 	// dedicated targets must not change from window to window, and querying their queues
 	// would use up the limits.
-	n := min(r.dedicatedTargets(len(candidates), need.Boxes, now), found.unlimited)
-	readers, others := candidates[:n], candidates[n:]
-	c.Target = tb.pick(need, others)
-	if long && len(readers) > 0 {
+	n := min(r.dedicatedTargets(len(candidates), criteria.Boxes, now), found.unlimited)
+	dedicated, others := candidates[:n], candidates[n:]
+	c.Target = tb.pick(criteria, others)
+	if long && len(dedicated) > 0 {
 		c.IsDedicated = true
-		c.AffinityTarget, c.Target = c.Target, leastWaiting(readers, need.Affinity)
-		c.Dedicated = targetsToQuery(readers, need.Affinity)
+		c.AffinityTarget, c.Target = c.Target, leastWaiting(dedicated, criteria.Affinity)
+		c.Dedicated = targetsToQuery(dedicated, criteria.Affinity)
 	}
-	if need.Affinity != 0 {
-		c.CacheSource = highestScore(others, need.Affinity, func(*Target) bool { return true })
+	if criteria.Affinity != 0 {
+		c.CacheSource = highestScore(others, criteria.Affinity, func(*Target) bool { return true })
 	}
 	if c.CacheSource == c.Target {
 		c.CacheSource = nil
@@ -272,8 +273,8 @@
 // targetsToQuery returns the dedicated targets that rank highest for a shared prefix,
 // at most maxQueried: asking all of them for their queues would not scale with the
 // fleet.
-func targetsToQuery(readers []*Target, affinity uint64) []*Target {
-	list := slices.Clone(readers)
+func targetsToQuery(dedicated []*Target, affinity uint64) []*Target {
+	list := slices.Clone(dedicated)
 	slices.SortFunc(list, func(a, b *Target) int { return cmp.Compare(hashing.Mix(b.hash^affinity), hashing.Mix(a.hash^affinity)) })
 	return list[:min(maxQueried, len(list))]
 }
@@ -287,43 +288,43 @@
 	return highestScore(candidates, affinity, func(t *Target) bool { return t.WaitingTokens == least })
 }
 
-// RecordPrefill records the time from a call to its first event, for a prompt with the given
-// number of unshared tokens.
+// RecordPrefill records the time from a call to its first event, for a prompt with the
+// given number of unshared tokens.
 func (tb *Table) RecordPrefill(t *Target, tokens int, first time.Duration) {
 	tb.prefillOf(t.Service).recordPrefill(tokens, first)
 }
 
 // pick chooses among the candidates for a call: by the shared prefix as far as their
 // loads allow, otherwise the least loaded.
-func (tb *Table) pick(need Criteria, candidates []*Target) *Target {
-	if need.Affinity == 0 {
+func (tb *Table) pick(criteria Criteria, candidates []*Target) *Target {
+	if criteria.Affinity == 0 {
 		return tb.leastLoaded(candidates)
 	}
 	total := 0
 	for _, t := range candidates {
 		total += t.RunningCalls
 	}
-	boxes := max(1, need.Boxes)
+	boxes := max(1, criteria.Boxes)
 	bound := loadBound*float64(total)/float64(len(candidates)) + loadSlack/float64(boxes)
 	belowBound := func(t *Target) bool { return float64(t.RunningCalls) <= bound }
-	share := tb.prefillOf(need.Service).tokensIn(maxWaitingTime, defaultMaxWaitingTokens) / boxes
+	share := tb.prefillOf(criteria.Service).tokensIn(maxWaitingTime, defaultMaxWaitingTokens) / boxes
 	fewWaiting := func(t *Target) bool { return belowBound(t) && t.WaitingTokens < share }
-	if best := highestScore(candidates, need.Affinity, fewWaiting); best != nil {
+	if best := highestScore(candidates, criteria.Affinity, fewWaiting); best != nil {
 		return best
 	}
-	if best := highestScore(candidates, need.Affinity, belowBound); best != nil {
+	if best := highestScore(candidates, criteria.Affinity, belowBound); best != nil {
 		return best
 	}
 	return tb.leastLoaded(candidates)
 }
 
 // highestScore returns the target with the highest rendezvous score for a shared prefix
-// among those that the filter admits, nil if there is none.
-func highestScore(candidates []*Target, affinity uint64, admits func(*Target) bool) *Target {
+// among the eligible candidates, nil if there is none.
+func highestScore(candidates []*Target, affinity uint64, eligible func(*Target) bool) *Target {
 	var best *Target
 	bestScore := uint64(0)
 	for _, t := range candidates {
-		if !admits(t) {
+		if !eligible(t) {
 			continue
 		}
 		if score := hashing.Mix(t.hash ^ affinity); best == nil || score > bestScore {
@@ -344,18 +345,18 @@
 }
 
 // isUsable reports whether a target may have a call, bans and limits aside.
-func (tb *Table) isUsable(t *Target, need Criteria) bool {
-	return !t.Draining && !t.replaced && !need.Exclude[t.start]
+func (tb *Table) isUsable(t *Target, criteria Criteria) bool {
+	return !t.Draining && !t.replaced && !criteria.Exclude[t.start]
 }
 
 // candidates returns the targets that a call may go to. Banned targets are included
 // only if there are no others.
-func (tb *Table) candidates(need Criteria, now time.Duration) candidateSet {
+func (tb *Table) candidates(criteria Criteria, now time.Duration) candidateSet {
 	var found candidateSet
 	var limited, banned []*Target
-	for _, t := range tb.services[need.Service] {
+	for _, t := range tb.services[criteria.Service] {
 		switch {
-		case !tb.isUsable(t, need):
+		case !tb.isUsable(t, criteria):
 		case t.bannedUntil > now:
 			banned = append(banned, t)
 		case !tb.HasLimit(t, now):
@@ -367,7 +368,7 @@
 		}
 	}
 	found.unlimited = len(found.sendable)
-	if found.unlimited == 0 && len(limited) > 0 && !tb.mayUseLimited(need, now) {
+	if found.unlimited == 0 && len(limited) > 0 && !tb.mayUseLimited(criteria, now) {
 		found.exhausted = append(found.exhausted, limited...)
 		return found
 	}
--- a/models/spread/spread_test.go
+++ b/models/spread/spread_test.go
@@ -40,10 +40,10 @@
 
 func TestAffinityGivesWayToLoad(t *testing.T) {
 	tb := newTestTable(4)
-	need := Criteria{Service: "s", Affinity: 7}
-	first := tb.Choose(need, 0).Target
+	criteria := Criteria{Service: "s", Affinity: 7}
+	first := tb.Choose(criteria, 0).Target
 	first.RunningCalls = 50
-	if second := tb.Choose(need, 0).Target; second == first {
+	if second := tb.Choose(criteria, 0).Target; second == first {
 		t.Fatal("target far above the mean load was chosen again")
 	}
 }
@@ -53,21 +53,21 @@
 // first.
 func TestAffinityGivesWayToWaitingPrompts(t *testing.T) {
 	tb := newTestTable(4)
-	need := Criteria{Service: "s", Affinity: 7, Boxes: 6}
-	first := tb.Choose(need, 0).Target
+	criteria := Criteria{Service: "s", Affinity: 7, Boxes: 6}
+	first := tb.Choose(criteria, 0).Target
 	first.WaitingTokens = defaultMaxWaitingTokens / 6
-	second := tb.Choose(need, 0).Target
-	if second == first || tb.Choose(need, 0).Target != second {
+	second := tb.Choose(criteria, 0).Target
+	if second == first || tb.Choose(criteria, 0).Target != second {
 		t.Fatalf("chose %s, then %s, want the same second target twice", first.ID, second.ID)
 	}
 	first.WaitingTokens--
-	if got := tb.Choose(need, 0).Target; got != first {
+	if got := tb.Choose(criteria, 0).Target; got != first {
 		t.Fatalf("chose %s although the first target is below the bound", got.ID)
 	}
 	for _, other := range tb.byID {
 		other.WaitingTokens = defaultMaxWaitingTokens
 	}
-	if got := tb.Choose(need, 0).Target; got != first {
+	if got := tb.Choose(criteria, 0).Target; got != first {
 		t.Fatalf("chose %s while prompts wait everywhere, want the first target", got.ID)
 	}
 }
@@ -185,7 +185,7 @@
 			}
 		}
 		if due := tb.DueForProbe(minBan); len(due) != failed {
-			t.Fatalf("%d targets of %s are banned, want %d", len(due), centre, failed)
+			t.Fatalf("%d targets of %s are due for a probe, want %d", len(due), centre, failed)
 		}
 	}
 }
@@ -197,10 +197,10 @@
 	for name, boxes := range map[string]int{"one box": 1, "many": 30} {
 		t.Run(name, func(t *testing.T) {
 			tb := newTestTable(4)
-			need := Criteria{Service: "s", Affinity: 7, Boxes: boxes}
-			first := tb.Choose(need, 0).Target
+			criteria := Criteria{Service: "s", Affinity: 7, Boxes: boxes}
+			first := tb.Choose(criteria, 0).Target
 			calls := 0
-			for tb.Choose(need, 0).Target == first {
+			for tb.Choose(criteria, 0).Target == first {
 				first.RunningCalls++
 				calls++
 			}
@@ -218,17 +218,17 @@
 	for name, perToken := range map[string]time.Duration{"fast": 10 * time.Microsecond, "slow": 50 * time.Microsecond} {
 		t.Run(name, func(t *testing.T) {
 			tb := newTestTable(4)
-			need := Criteria{Service: "s", Affinity: 7, Boxes: 1}
-			first := tb.Choose(need, 0).Target
+			criteria := Criteria{Service: "s", Affinity: 7, Boxes: 1}
+			first := tb.Choose(criteria, 0).Target
 			for range 200 {
 				tb.RecordPrefill(first, 10000, 10000*perToken)
 			}
 			first.WaitingTokens = int(maxWaitingTime/perToken) * 8 / 10
-			if got := tb.Choose(need, 0).Target; got != first {
+			if got := tb.Choose(criteria, 0).Target; got != first {
 				t.Fatalf("chose %s although the first target is below the bound", got.ID)
 			}
 			first.WaitingTokens = int(maxWaitingTime/perToken) * 12 / 10
-			if got := tb.Choose(need, 0).Target; got == first {
+			if got := tb.Choose(criteria, 0).Target; got == first {
 				t.Fatal("chose the first target although it is above the bound")
 			}
 		})
