--- a/services/forward/buffered.go
+++ b/services/forward/buffered.go
@@ -19,9 +19,9 @@
 // longer ones are relayed as they arrive.
 const maxBufferedAnswer = 256 << 10
 
-// readFully reads a complete answer before any of it is relayed, so that a broken one can be
+// bufferAnswer reads a complete answer before any of it is relayed, so that a broken one can be
 // requested again.
-func (fl *inflightCall) readFully(t *spread.Target, x *exchange, status int) attempt {
+func (fl *inflightCall) bufferAnswer(t *spread.Target, x *exchange, status int) attempt {
 	if fl.sink.started() {
 		return fl.handleLateFailure(t, x, status)
 	}
@@ -31,11 +31,11 @@
 		fl.recordSend(t, fmt.Sprintf("cut %d", status))
 		return attempt{verdict: failing, err: errors.Wrap(errNoAnswer, err.Error())}
 	}
-	got := &answer{status: status, fields: x.fields(), body: body, passedLength: x.passedLength(body)}
+	got := &answer{status: status, fields: x.fields(), body: body, declaredLength: x.declaredLength(body)}
 	if len(body) == maxBufferedAnswer {
 		return fl.forwardLong(t, x, got)
 	}
-	x.readFully = true
+	x.bodyComplete = true
 	x.finish()
 	fl.recordSend(t, fmt.Sprint(status))
 	if status >= http.StatusInternalServerError && routing.IsRepeatable(fl.route) {
@@ -77,7 +77,7 @@
 		x.abandon()
 		return attempt{verdict: inconclusive, done: true, err: errBegun{err}}
 	}
-	x.readFully = true
+	x.bodyComplete = true
 	x.finish()
 	return attempt{verdict: healthy, done: true, err: fl.sink.End()}
 }
@@ -89,7 +89,7 @@
 
 // sendAnswer relays a complete answer.
 func (fl *inflightCall) sendAnswer(a *answer) error {
-	if err := fl.sink.Begin(a.status, a.fields, a.passedLength); err != nil {
+	if err := fl.sink.Begin(a.status, a.fields, a.declaredLength); err != nil {
 		return errBegun{err}
 	}
 	if err := fl.sink.Write(a.body); err != nil {
--- a/services/forward/choose.go
+++ b/services/forward/choose.go
@@ -10,20 +10,20 @@
 	"havenwinch.dev/havenwinch/models/spread"
 )
 
-// goneTimeout limits the request that tells control of a target that is gone.
-const goneTimeout = 2 * time.Second
+// reportGoneTimeout limits the request that tells control of a target that is gone.
+const reportGoneTimeout = 2 * time.Second
 
-// maxReaderQueue is how many prompts the least busy prefill target must have queued for a long
-// prompt to go to the target that caches its shared prefix instead. Without this limit one
-// prefill target had prompts queued for over 4 s, for 12 s on end, while boxes that were cut
+// maxDedicatedQueue is how many prompts the least busy dedicated target must have queued for a
+// long prompt to go to the target that caches its shared prefix instead. Without this limit one
+// dedicated target had prompts queued for over 4 s, for 12 s on end, while boxes that were cut
 // off from control used an outdated load of the fleet, and callers gave up.
-const maxReaderQueue = 2
+const maxDedicatedQueue = 2
 
-// choosePrefillTarget returns the choice for a long prompt, given the least busy prefill target
+// chooseDedicated returns the choice for a long prompt, given the least busy dedicated target
 // and the number of prompts queued there.
-func choosePrefillTarget(c spread.Choice, reader *spread.Target, load int) spread.Choice {
-	c.Target = reader
-	if load >= maxReaderQueue && c.AffinityTarget != nil {
+func chooseDedicated(c spread.Choice, t *spread.Target, load int) spread.Choice {
+	c.Target = t
+	if load >= maxDedicatedQueue && c.AffinityTarget != nil {
 		c.Target, c.IsDedicated = c.AffinityTarget, false
 	}
 	return c
@@ -40,8 +40,8 @@
 	}
 }
 
-// need returns the call's criteria for a target.
-func (fl *inflightCall) need() spread.Criteria {
+// criteria returns the call's criteria for a target.
+func (fl *inflightCall) criteria() spread.Criteria {
 	return spread.Criteria{
 		Service: fl.service.GetName(), Affinity: fl.call.Affinity, UnsharedTokens: int(fl.call.UnsharedTokens), Boxes: fl.f.opts.Leases.Boxes(), Exclude: fl.excluded,
 		MaxPause: time.Duration(fl.route.GetPause()) * time.Millisecond, Rank: fl.rank(), MaxWait: fl.limitWaitLeft(),
@@ -50,13 +50,13 @@
 
 func (fl *inflightCall) chooseNow(ctx context.Context) spread.Choice {
 	f := fl.f
-	need := fl.need()
+	criteria := fl.criteria()
 	f.mu.Lock()
-	c := f.targets.Choose(need, fl.now)
+	c := f.targets.Choose(criteria, fl.now)
 	f.mu.Unlock()
 	if c.IsDedicated {
-		reader, load := f.leastBusyReader(ctx, c)
-		c = choosePrefillTarget(c, reader, load)
+		t, load := f.leastBusyDedicated(ctx, c)
+		c = chooseDedicated(c, t, load)
 	}
 	if c.Target != nil {
 		fl.acquireSlot(c.Target)
@@ -70,19 +70,19 @@
 	fl.f.mu.Lock()
 	defer fl.f.mu.Unlock()
 	t.RunningCalls++
-	fl.unreadTokens = int(fl.call.InputTokens)
-	t.WaitingTokens += fl.unreadTokens
+	fl.waitingTokens = int(fl.call.InputTokens)
+	t.WaitingTokens += fl.waitingTokens
 }
 
 // recordPrefill records that the target has prefilled the prompt of the call sent at the given
 // time.
 func (fl *inflightCall) recordPrefill(t *spread.Target, sent time.Duration) {
-	if fl.unreadTokens == 0 {
+	if fl.waitingTokens == 0 {
 		return
 	}
 	fl.f.mu.Lock()
 	defer fl.f.mu.Unlock()
-	fl.clearUnreadTokens(t)
+	fl.clearWaitingTokens(t)
 	fl.f.targets.RecordPrefill(t, int(fl.call.UnsharedTokens), fl.f.opts.Clock.Boot()-sent)
 }
 
@@ -97,9 +97,9 @@
 	fl.f.targets.RecordStreamPause(t, fl.sink.longestPause, time.Duration(fl.route.GetPause())*time.Millisecond)
 }
 
-func (fl *inflightCall) clearUnreadTokens(t *spread.Target) {
-	t.WaitingTokens -= fl.unreadTokens
-	fl.unreadTokens = 0
+func (fl *inflightCall) clearWaitingTokens(t *spread.Target) {
+	t.WaitingTokens -= fl.waitingTokens
+	fl.waitingTokens = 0
 }
 
 // releaseSlot releases the slot at a target and records the outcome of the attempt.
@@ -108,7 +108,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	t.RunningCalls--
-	fl.clearUnreadTokens(t)
+	fl.clearWaitingTokens(t)
 	switch v {
 	case unreachable:
 		if f.opts.IsCongested() {
@@ -122,7 +122,7 @@
 	case replaced:
 		if f.targets.BanReplaced(t) {
 			f.opts.Logger.Warn("target out", "target", t.ID, "address", t.Address, "reason", "another target has its address", "request", fl.call.ID)
-			go f.tellGone(t)
+			go f.reportGone(t)
 		}
 	case healthy, rejected:
 		f.targets.MarkReachable(t)
@@ -135,13 +135,13 @@
 	}
 }
 
-// tellGone tells control, and through it all boxes, that a target has been replaced. Otherwise
-// each box would have to learn it from a call of its own, and each of these counts as a retry.
-func (f *Forwarder) tellGone(t *spread.Target) {
+// reportGone tells control, and through it all boxes, that a target has been replaced. Otherwise
+// each box would learn it from a call of its own, and each of these counts as a retry.
+func (f *Forwarder) reportGone(t *spread.Target) {
 	if f.opts.ReportGone == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), goneTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), reportGoneTimeout)
 	defer cancel()
 	if err := f.opts.ReportGone(ctx, t.ID, t.Born); err != nil {
 		f.opts.Logger.Warn("failed to tell control that a target is gone", "target", t.ID, "born", t.Born, "reason", err.Error())
--- a/services/forward/disconnect_test.go
+++ b/services/forward/disconnect_test.go
@@ -37,11 +37,11 @@
 		sends int
 	}{
 		"while tokens are reserved": {route: "unsafe", leave: func(_ *Forwarder, b *fakeLeases, leave func()) {
-			b.hook = leave
+			b.onReserve = leave
 		}},
 		"during the quarantine check": {route: "safe", leave: func(f *Forwarder, _ *fakeLeases, leave func()) {
 			n := newFakeQuarantine()
-			n.hook = func(*fakeQuarantine, quarantine.Digest) { leave() }
+			n.onHoldLeft = func(*fakeQuarantine, quarantine.Digest) { leave() }
 			f.opts.Quarantine = n
 		}},
 		"while a target rejects it": {route: "unsafe", sends: 1, script: leaving(rejects())},
@@ -111,7 +111,7 @@
 		for err == nil {
 			_, err = x.body.Read(buffer)
 		}
-		x.readFully = true
+		x.bodyComplete = true
 		x.finish()
 	}
 }
@@ -124,7 +124,7 @@
 	f := newForwarder(t, b, one)
 	fake := clock.NewFake()
 	f.opts.Clock = fake
-	b.hook = func() { fake.Advance(time.Minute) }
+	b.onReserve = func() { fake.Advance(time.Minute) }
 	call := newCall("unsafe")
 	call.Arrived = fake.Boot()
 	if err := f.Serve(context.Background(), call, &collector{}); err == nil {
--- a/services/forward/exchange.go
+++ b/services/forward/exchange.go
@@ -49,18 +49,19 @@
 	head         fasthttp.ResponseHeader
 	stopWatching func() bool
 	body         io.Reader
-	framed       bool
+	// framed is set if the header tells where the body ends other than by closing the connection.
+	framed bool
 	// upload is closed once the body of the call has been written; nil when it was written
 	// before the answer was read.
 	upload chan struct{}
-	// readFully is set once the body was read to its end.
-	readFully bool
+	// bodyComplete is set once the body was read to its end.
+	bodyComplete bool
 }
 
-// send writes the request: the relayed fields, then own. All requests to targets go through
+// send writes the request: the relayed fields, then added. All requests to targets go through
 // here. It returns errLimited, without sending, when the rate limit is used up. now is the boot
 // time.
-func (f *Forwarder) send(ctx context.Context, c *conn, call *Call, own []Field, now time.Duration) (*exchange, error) {
+func (f *Forwarder) send(ctx context.Context, c *conn, call *Call, added []Field, now time.Duration) (*exchange, error) {
 	if err := f.countRequest(c.target, call, now); err != nil {
 		f.pool.put(c, 0)
 		return nil, err
@@ -68,7 +69,7 @@
 	x := &exchange{f: f, conn: c, call: call, sent: now}
 	c.previousCall, c.lastCall = c.lastCall, call.name()
 	x.stopWatching = context.AfterFunc(ctx, c.close)
-	head := writeHead(call, own)
+	head := writeHead(call, added)
 	if len(call.Body) <= maxInlineBody {
 		if _, err := c.Write(append(head, call.Body...)); err != nil {
 			x.abandon()
@@ -94,7 +95,7 @@
 // fits into any send buffer.
 const maxInlineBody = 16 << 10
 
-func writeHead(call *Call, own []Field) []byte {
+func writeHead(call *Call, added []Field) []byte {
 	b := make([]byte, 0, 1024+len(call.Body))
 	b = append(b, call.Method...)
 	b = append(b, ' ')
@@ -104,7 +105,7 @@
 	for _, f := range call.Fields {
 		b = appendField(b, f.Name, f.Value)
 	}
-	for _, f := range own {
+	for _, f := range added {
 		b = appendField(b, f.Name, f.Value)
 	}
 	if len(call.Body) > 0 || call.Method != fasthttp.MethodGet && call.Method != fasthttp.MethodHead {
@@ -239,9 +240,9 @@
 	return x.call.Method == http.MethodHead || status == http.StatusNoContent || status == http.StatusNotModified
 }
 
-// passedLength returns the length to declare for a body that has been read. Where the answer
-// has no body it is the length that the target declared, negative for none.
-func (x *exchange) passedLength(body []byte) int {
+// declaredLength returns the Content-Length to declare to the caller for a body that has been
+// read. Where the answer has no body it is the one that the target declared, negative for none.
+func (x *exchange) declaredLength(body []byte) int {
 	if x.hasNoBody() {
 		return max(-1, x.head.ContentLength())
 	}
@@ -295,7 +296,7 @@
 // finish returns the connection to the pool if the answer was complete and both sides allow
 // reuse.
 func (x *exchange) finish() {
-	if !x.stopWatching() || !x.readFully || !x.framed || x.head.ConnectionClose() || !x.isUploaded() {
+	if !x.stopWatching() || !x.bodyComplete || !x.framed || x.head.ConnectionClose() || !x.isUploaded() {
 		x.f.pool.drop(x.conn)
 		return
 	}
--- a/services/forward/forward.go
+++ b/services/forward/forward.go
@@ -50,7 +50,7 @@
 type Leases interface {
 	Reserve(ctx context.Context, organisation string, tokens uint64, wait time.Duration) (gateway.Reservation, gateway.Outcome, gateway.Status)
 	Settle(r gateway.Reservation, spent uint64)
-	// Boxes is the number of entry boxes, 0 until control has told it.
+	// Boxes is the number of entry boxes, 0 until control has sent it.
 	Boxes() int
 }
 
@@ -86,7 +86,7 @@
 	Clock      clock.Clock
 	Logger     *slog.Logger
 	Counter    Counter
-	// ReportGone tells control that an instance of a target is gone; nil to tell nobody.
+	// ReportGone tells control that a start of a target is gone; nil to tell nobody.
 	ReportGone func(ctx context.Context, target string, born int64) error
 	// IsCongested reports whether the box's own link is congested; nil for never.
 	IsCongested func() bool
@@ -109,7 +109,7 @@
 type Forwarder struct {
 	opts    Options
 	started time.Duration
-	// reportWait limits the queries for prefill reports.
+	// reportWait limits the queries for load reports.
 	reportWait time.Duration
 	pool       *pool
 	retries    retryBudget
@@ -135,8 +135,8 @@
 	limitsInReport []*spread.Target
 	// limitsReported is when a limit was last reported ahead of schedule.
 	limitsReported time.Duration
-	// loggedReaders is the last logged number of targets that prefill long prompts, by service.
-	loggedReaders map[string]int
+	// loggedDedicated is the last logged number of dedicated targets, by service.
+	loggedDedicated map[string]int
 }
 
 // New returns a Forwarder. It has no targets until Refresh.
@@ -205,13 +205,13 @@
 			return
 		case <-ticker.C:
 		}
-		f.pool.sweep(f.keepsIdle)
+		f.pool.sweep(f.isTargetReady)
 		f.pruneBreaks()
 		f.probe(ctx)
 	}
 }
 
-func (f *Forwarder) keepsIdle(target string) bool {
+func (f *Forwarder) isTargetReady(target string) bool {
 	row := f.opts.Store.Target(target)
 	return row.GetState() == statev1.RegisteredTarget_STATE_READY
 }
--- a/services/forward/forward_test.go
+++ b/services/forward/forward_test.go
@@ -289,7 +289,7 @@
 func TestNoRetryReserveWithUnknownFleetSize(t *testing.T) {
 	misdirected := rawResponse("HTTP/1.1 421 X\r\nContent-Length: 0\r\n\r\n")
 	cases := map[string]struct {
-		// boxes is the number of boxes at each call, 0 while control has not told it.
+		// boxes is the number of boxes at each call, 0 while control has not sent it.
 		boxes []int
 		sends int
 	}{
--- a/services/forward/helpers_test.go
+++ b/services/forward/helpers_test.go
@@ -195,17 +195,17 @@
 	mu      sync.Mutex
 	outcome gateway.Outcome
 	settled []uint64
-	// hook is called by Reserve; may be nil.
-	hook func()
-	// boxes is the number of entry boxes, 1 if zero; unknown is set while control has not told
+	// onReserve is called by Reserve; may be nil.
+	onReserve func()
+	// boxes is the number of entry boxes, 1 if zero; unknown is set while control has not sent
 	// it.
 	boxes   int
 	unknown bool
 }
 
 func (b *fakeLeases) Reserve(_ context.Context, organisation string, tokens uint64, _ time.Duration) (gateway.Reservation, gateway.Outcome, gateway.Status) {
-	if b.hook != nil {
-		b.hook()
+	if b.onReserve != nil {
+		b.onReserve()
 	}
 	return gateway.Reservation{Organisation: organisation, Tokens: tokens}, b.outcome, gateway.Status{Left: 5, Free: 3, Age: 10}
 }
--- a/services/forward/inflight.go
+++ b/services/forward/inflight.go
@@ -43,9 +43,10 @@
 	// possibleRuns counts the targets that may have run the call.
 	possibleRuns int
 	lastChoice   spread.Choice
-	// unreadTokens is the number of prompt tokens that the current target has yet to prefill.
-	unreadTokens int
-	events       eventSplitter
+	// waitingTokens is the part of the current target's WaitingTokens that is this call's: the
+	// prompt tokens that it has yet to prefill.
+	waitingTokens int
+	events        eventSplitter
 	// lostOutput is set when a target may have generated any number of tokens that did not
 	// arrive, missedTail when it can only have generated a few more events.
 	lostOutput bool
@@ -53,8 +54,8 @@
 	// failure is an error answer of a target. It is relayed when no other target does better,
 	// even if a later target may have run the call.
 	failure *answer
-	// passedFailure is set once failure was relayed.
-	passedFailure bool
+	// failureRelayed is set once failure was relayed.
+	failureRelayed bool
 	// digest caches contentDigest. brokenOff is set when a target dropped the call.
 	digest    quarantine.Digest
 	brokenOff bool
@@ -173,8 +174,8 @@
 // remaining is the time to the deadline as of the last tick.
 func (fl *inflightCall) remaining() time.Duration { return fl.deadline - fl.now }
 
-// ownFields returns the header fields that this system adds to the call.
-func (fl *inflightCall) ownFields(c spread.Choice) []Field {
+// addedFields returns the header fields that this system adds to the call.
+func (fl *inflightCall) addedFields(c spread.Choice) []Field {
 	t := c.Target
 	d := fl.f.opts.Dialect
 	fields := []Field{
--- a/services/forward/limits.go
+++ b/services/forward/limits.go
@@ -236,9 +236,9 @@
 // known to be at their rate limit. If so, it waits for the next window or refuses the call.
 func (fl *inflightCall) refuseIfLimited(ctx context.Context) *Refusal {
 	f := fl.f
-	need := fl.need()
+	criteria := fl.criteria()
 	f.mu.Lock()
-	w, allLimited := f.targets.IsExhausted(need, fl.now)
+	w, allLimited := f.targets.IsExhausted(criteria, fl.now)
 	f.mu.Unlock()
 	if !allLimited || fl.waitLimited(ctx, w) {
 		return nil
--- a/services/forward/limits_test.go
+++ b/services/forward/limits_test.go
@@ -23,8 +23,8 @@
 	"havenwinch.dev/havenwinch/structs"
 )
 
-// namesLimit answers with status 200 and the given header fields.
-func namesLimit(fields string) script {
+// statesLimit answers with status 200 and the given header fields.
+func statesLimit(fields string) script {
 	return func(c net.Conn, r received) {
 		_, _ = io.WriteString(c, head(r.id, fields+"Content-Length: 1\r\n\r\nx"))
 	}
@@ -76,11 +76,11 @@
 		want   float64
 		status int
 	}{
-		"a valid limit":                    {answer: namesLimit("X-Limit: 7\r\n"), want: 7, status: 200},
-		"none":                             {answer: namesLimit(""), want: rate.Unlimited, status: 200},
-		"text":                             {answer: namesLimit("X-Limit: busy\r\n"), want: rate.Unlimited, status: 200},
-		"empty":                            {answer: namesLimit("X-Limit:\r\n"), want: rate.Unlimited, status: 200},
-		"two fields":                       {answer: namesLimit("X-Limit: 7\r\nX-Limit: 8\r\n"), want: rate.Unlimited, status: 200},
+		"a valid limit":                    {answer: statesLimit("X-Limit: 7\r\n"), want: 7, status: 200},
+		"none":                             {answer: statesLimit(""), want: rate.Unlimited, status: 200},
+		"text":                             {answer: statesLimit("X-Limit: busy\r\n"), want: rate.Unlimited, status: 200},
+		"empty":                            {answer: statesLimit("X-Limit:\r\n"), want: rate.Unlimited, status: 200},
+		"two fields":                       {answer: statesLimit("X-Limit: 7\r\nX-Limit: 8\r\n"), want: rate.Unlimited, status: 200},
 		"in an error answer":               {answer: rawResponse("HTTP/1.1 404 X\r\nX-Signed: s\r\nX-Id: ID\r\nX-Limit: 7\r\nContent-Length: 0\r\n\r\n"), want: 7, status: 404},
 		"in a rejection":                   {answer: rawResponse("HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nX-Limit: 7\r\nContent-Length: 0\r\n\r\n"), want: 7, status: 200},
 		"by another target at the address": {answer: rawResponse("HTTP/1.1 421 X\r\nX-Limit: 7\r\nContent-Length: 0\r\n\r\n"), want: -1, status: 200},
@@ -105,7 +105,7 @@
 // Once a target's rate limit is used up calls go to other targets, none is refused, and the
 // limit is used again in the next window.
 func TestLimitedTargetIsBypassed(t *testing.T) {
-	one, two := newTarget(t, "one", repeated(100, namesLimit("X-Limit: 4\r\n"))...), newTarget(t, "two", repeated(100, namesLimit(""))...)
+	one, two := newTarget(t, "one", repeated(100, statesLimit("X-Limit: 4\r\n"))...), newTarget(t, "two", repeated(100, statesLimit(""))...)
 	f, c := newLimited(t, &fakeLeases{}, one, two)
 	for round := range 3 {
 		for range 12 {
@@ -125,19 +125,19 @@
 // Where all targets are at their rate limit, a call is refused immediately, with a Retry-After
 // time and before tokens are reserved.
 func TestAllTargetsLimitedRefusesImmediately(t *testing.T) {
-	asked := 0
-	b := &fakeLeases{hook: func() { asked++ }}
-	f, c := newLimited(t, b, newTarget(t, "one", repeated(9, namesLimit("X-Limit: 0.5\r\n"))...))
+	reservations := 0
+	b := &fakeLeases{onReserve: func() { reservations++ }}
+	f, c := newLimited(t, b, newTarget(t, "one", repeated(9, statesLimit("X-Limit: 0.5\r\n"))...))
 	if err := f.Serve(context.Background(), limitedCall(c, "safe"), &collector{}); err != nil {
 		t.Fatal(err)
 	}
-	before := asked
+	before := reservations
 	err := f.Serve(context.Background(), limitedCall(c, "safe"), &collector{})
 	var refusal *Refusal
 	if !errors.As(err, &refusal) || refusal.Kind != structs.KindOverloaded || refusal.Run != structs.RunNo || refusal.RetryAfter <= 0 {
 		t.Fatalf("%v", err)
 	}
-	if asked != before {
+	if reservations != before {
 		t.Fatal("tokens were reserved")
 	}
 }
@@ -146,7 +146,7 @@
 // system as well as calls. Only the resumption of a run that was stopped for it is sent
 // regardless, and is deducted later.
 func TestAllRequestsCountAgainstLimit(t *testing.T) {
-	one := newTarget(t, "one", repeated(20, namesLimit("X-Limit: 4\r\n"))...)
+	one := newTarget(t, "one", repeated(20, statesLimit("X-Limit: 4\r\n"))...)
 	f, c := newLimited(t, &fakeLeases{}, one)
 	if err := f.Serve(context.Background(), limitedCall(c, "safe"), &collector{}); err != nil {
 		t.Fatal(err)
@@ -185,7 +185,7 @@
 	for _, limited := range []string{"one", "two", ""} {
 		t.Run("limit at "+limited, func(t *testing.T) {
 			f, c := newLimited(t, &fakeLeases{}, newTarget(t, "one"), newTarget(t, "two"))
-			f.opts.EngineAPI = testOrders{}
+			f.opts.EngineAPI = testEngineAPI{}
 			byID := map[string]*spread.Target{}
 			for _, id := range []string{"one", "two"} {
 				other := map[string]string{"one": "two", "two": "one"}[id]
@@ -207,8 +207,8 @@
 // The limits that one box receives reach the others through control, with their age. When
 // another leader starts a new list, a box reports again what it received itself.
 func TestLimitExchangeWithControl(t *testing.T) {
-	one := newTarget(t, "one", repeated(9, namesLimit("X-Limit: 4\r\n"))...)
-	f, c := newLimited(t, &fakeLeases{}, one, newTarget(t, "two", repeated(9, namesLimit(""))...))
+	one := newTarget(t, "one", repeated(9, statesLimit("X-Limit: 4\r\n"))...)
+	f, c := newLimited(t, &fakeLeases{}, one, newTarget(t, "two", repeated(9, statesLimit(""))...))
 	if err := f.Serve(context.Background(), limitedCall(c, "safe"), &collector{}); err != nil {
 		t.Fatal(err)
 	}
--- a/services/forward/move.go
+++ b/services/forward/move.go
@@ -15,7 +15,7 @@
 	"havenwinch.dev/havenwinch/models/spread"
 )
 
-// A call whose long prompt was prefilled at a separate target continues elsewhere once its
+// A call whose long prompt was prefilled at a dedicated target continues elsewhere once its
 // first token was sent, because the next long prompt there would delay its events. While it
 // runs, its KV cache is copied to the target that caches the shared prefix of its prompt; then
 // the run is stopped, the rest of the cache is copied, and the stream continues there. It
@@ -153,7 +153,7 @@
 		return 0, nil, err
 	}
 	answer, err = io.ReadAll(io.LimitReader(x.body, maxEngineAnswer))
-	x.readFully = err == nil && len(answer) < maxEngineAnswer
+	x.bodyComplete = err == nil && len(answer) < maxEngineAnswer
 	x.finish()
 	return x.head.StatusCode(), answer, err
 }
--- a/services/forward/move_test.go
+++ b/services/forward/move_test.go
@@ -17,21 +17,21 @@
 	"havenwinch.dev/havenwinch/models/spread"
 )
 
-// testOrders implements EngineAPI.
-type testOrders struct{}
+// testEngineAPI implements EngineAPI.
+type testEngineAPI struct{}
 
-func (testOrders) Copy(call, address string, stop bool) (string, []byte) {
+func (testEngineAPI) Copy(call, address string, stop bool) (string, []byte) {
 	return "/copy", fmt.Appendf(nil, "%s %s %v", call, address, stop)
 }
-func (testOrders) ReportPath() string { return "/report" }
-func (testOrders) Report(answer []byte) (EngineReport, error) {
+func (testEngineAPI) ReportPath() string { return "/report" }
+func (testEngineAPI) Report(answer []byte) (EngineReport, error) {
 	var r EngineReport
 	_, err := fmt.Sscanf(string(answer), "%d %d", &r.Queued, &r.Prefilling)
 	return r, err
 }
-func (testOrders) ReleasePath(handle string) string           { return "/release/" + handle }
-func (testOrders) ParseHandle(answer []byte) (string, error)  { return string(answer), nil }
-func (testOrders) ResumeSource(address, handle string) string { return address + "/" + handle }
+func (testEngineAPI) ReleasePath(handle string) string           { return "/release/" + handle }
+func (testEngineAPI) ParseHandle(answer []byte) (string, error)  { return string(answer), nil }
+func (testEngineAPI) ResumeSource(address, handle string) string { return address + "/" + handle }
 
 // engineScript is how the engines of a test answer; each of them may prefill the prompt or
 // resume a run.
@@ -102,14 +102,14 @@
 func newMovingForwarder(t *testing.T, leases Leases, targets ...*target) *Forwarder {
 	t.Helper()
 	f := newForwarder(t, leases, targets...)
-	f.opts.EngineAPI = testOrders{}
+	f.opts.EngineAPI = testEngineAPI{}
 	index := f.opts.Store.Index()
 	index.Service("s").Engine.Moves = true
 	index.Route("h", "/stream/x").Pause = 100
-	reader := f.targets.Choose(spread.Criteria{Service: "s"}, 0).Target
-	f.targets.RecordPrefill(reader, 4000, 100*time.Millisecond)
+	prefillTarget := f.targets.Choose(spread.Criteria{Service: "s"}, 0).Target
+	f.targets.RecordPrefill(prefillTarget, 4000, 100*time.Millisecond)
 	for range 20 {
-		f.targets.RecordStreamPause(reader, time.Second, time.Millisecond)
+		f.targets.RecordStreamPause(prefillTarget, time.Second, time.Millisecond)
 	}
 	return f
 }
@@ -162,7 +162,7 @@
 			if want := []uint64{20000 + 4*5}; !cmp.Equal(b.settled, want) {
 				t.Fatalf("billed %v, want %v", b.settled, want)
 			}
-			sends, reader, last := 0, "", ""
+			sends, prefillTarget, last := 0, "", ""
 			for _, tg := range targets {
 				for _, r := range tg.requests() {
 					if r.id == "" {
@@ -170,9 +170,9 @@
 					}
 					sends++
 					if r.resume == "" {
-						reader = tg.name
+						prefillTarget = tg.name
 						if r.fetch == "" {
-							t.Error("the reader got no address of the shared prefix")
+							t.Error("the dedicated target got no address of the shared prefix")
 						}
 						continue
 					}
@@ -184,8 +184,8 @@
 					}
 				}
 			}
-			if sends != test.sends || test.sends > 1 && (last == reader) != test.atSource {
-				t.Fatalf("%d sends, prefilled at %s, resumed at %s", sends, reader, last)
+			if sends != test.sends || test.sends > 1 && (last == prefillTarget) != test.atSource {
+				t.Fatalf("%d sends, prefilled at %s, resumed at %s", sends, prefillTarget, last)
 			}
 			if test.script.stops == 404 {
 				<-e.released
--- a/services/forward/prefill_load.go
+++ b/services/forward/prefill_load.go
@@ -31,20 +31,20 @@
 	for _, l := range all {
 		load := time.Duration(l.GetLoad()) * time.Microsecond
 		f.targets.SetFleetPrefillLoad(l.GetService(), load, now)
-		f.noteReaders(l.GetService(), boxes, load, now)
+		f.logDedicatedTargets(l.GetService(), boxes, load, now)
 	}
 }
 
-// noteReaders logs the number of targets that prefill long prompts when it changes. The caller
-// holds f.mu.
-func (f *Forwarder) noteReaders(service string, boxes int, load, now time.Duration) {
-	readers := f.targets.DedicatedTargets(service, boxes, now)
-	if readers == f.loggedReaders[service] {
+// logDedicatedTargets logs the number of targets that are dedicated to long prompts when it
+// changes. The caller holds f.mu.
+func (f *Forwarder) logDedicatedTargets(service string, boxes int, load, now time.Duration) {
+	dedicated := f.targets.DedicatedTargets(service, boxes, now)
+	if dedicated == f.loggedDedicated[service] {
 		return
 	}
-	if f.loggedReaders == nil {
-		f.loggedReaders = map[string]int{}
+	if f.loggedDedicated == nil {
+		f.loggedDedicated = map[string]int{}
 	}
-	f.loggedReaders[service] = readers
-	f.opts.Logger.Info("targets that read long prompts", "service", service, "readers", readers, "fleet_reading_ms_per_s", load.Milliseconds())
+	f.loggedDedicated[service] = dedicated
+	f.opts.Logger.Info("targets that read long prompts", "service", service, "readers", dedicated, "fleet_reading_ms_per_s", load.Milliseconds())
 }
--- a/services/forward/reports.go
+++ b/services/forward/reports.go
@@ -12,11 +12,11 @@
 )
 
 // A long prompt waits until every prompt before it has been prefilled, and a box knows only
-// those that it sent itself. So the few targets that prefill long prompts ("readers") are asked
-// for their queue before one is sent there. Long prompts are rare, so this takes a few requests
+// those that it sent itself. So the few targets that are dedicated to long prompts are queried
+// for their queues before one is sent there. Long prompts are rare, so this takes a few requests
 // a second over the whole fleet.
 
-// reportTimeout limits the queries to all readers: a round trip between data centres and a
+// reportTimeout limits the queries for one call: a round trip between data centres and a
 // margin. Waiting for a later answer would cost more than it saves.
 const reportTimeout = 25 * time.Millisecond
 
@@ -30,23 +30,23 @@
 	Running int
 }
 
-type readerReport struct {
-	reader *spread.Target
+type targetReport struct {
+	target *spread.Target
 	report EngineReport
 }
 
-// leastBusyReader returns the reader with the fewest prompts queued, and their number. If no
-// reader answers in time it returns the one that was chosen already, and 0. A prompt that this
-// box has sent to a reader counts even if the report is older.
-func (f *Forwarder) leastBusyReader(ctx context.Context, c spread.Choice) (best *spread.Target, load int) {
+// leastBusyDedicated returns the dedicated target with the fewest prompts queued, and their
+// number. If none answers in time it returns the one that was chosen already, and 0. A prompt
+// that this box has sent to a target counts even if the report is older.
+func (f *Forwarder) leastBusyDedicated(ctx context.Context, c spread.Choice) (best *spread.Target, load int) {
 	if f.opts.EngineAPI == nil {
 		return c.Target, 0
 	}
 	ctx, cancel := context.WithTimeout(ctx, f.reportWait)
 	defer cancel()
-	answers := make(chan readerReport, len(c.Dedicated))
-	for _, r := range c.Dedicated {
-		go func() { f.askReader(ctx, r, answers) }()
+	answers := make(chan targetReport, len(c.Dedicated))
+	for _, t := range c.Dedicated {
+		go func() { f.queryReport(ctx, t, answers) }()
 	}
 	best, least := c.Target, -1
 	for range c.Dedicated {
@@ -54,43 +54,43 @@
 		case <-ctx.Done():
 			return best, max(0, least)
 		case a := <-answers:
-			if a.reader == nil {
+			if a.target == nil {
 				continue
 			}
 			load := f.promptsAt(a)
-			if least < 0 || load < least || load == least && a.reader == c.Target {
-				best, least = a.reader, load
+			if least < 0 || load < least || load == least && a.target == c.Target {
+				best, least = a.target, load
 			}
 		}
 	}
 	return best, max(0, least)
 }
 
-// promptsAt returns how many prompts a reader has queued.
-func (f *Forwarder) promptsAt(a readerReport) int {
+// promptsAt returns how many prompts a target has queued.
+func (f *Forwarder) promptsAt(a targetReport) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	load := a.report.Queued + a.report.Prefilling
-	if load == 0 && a.reader.WaitingTokens > 0 {
+	if load == 0 && a.target.WaitingTokens > 0 {
 		return 1
 	}
 	return load
 }
 
-// askReader queries the report of one reader and sends it to answers; an entry without a reader
-// if there is none.
-func (f *Forwarder) askReader(ctx context.Context, r *spread.Target, answers chan<- readerReport) {
-	status, body, err := f.request(ctx, r, useReports, http.MethodGet, f.opts.EngineAPI.ReportPath(), nil)
+// queryReport queries the load report of a target and sends it to answers; an entry without a
+// target if there is none.
+func (f *Forwarder) queryReport(ctx context.Context, t *spread.Target, answers chan<- targetReport) {
+	status, body, err := f.request(ctx, t, useReports, http.MethodGet, f.opts.EngineAPI.ReportPath(), nil)
 	if err != nil || status != http.StatusOK {
-		f.opts.Logger.Debug("no load report from a reader", "target", r.ID, "status", status, "error", err)
-		answers <- readerReport{}
+		f.opts.Logger.Debug("no load report from a dedicated target", "target", t.ID, "status", status, "error", err)
+		answers <- targetReport{}
 		return
 	}
 	report, err := f.opts.EngineAPI.Report(body)
 	if err != nil {
-		f.opts.Logger.Warn("can't parse the load report of a target", "target", r.ID, "reason", err.Error())
-		answers <- readerReport{}
+		f.opts.Logger.Warn("can't parse the load report of a target", "target", t.ID, "reason", err.Error())
+		answers <- targetReport{}
 		return
 	}
-	answers <- readerReport{reader: r, report: report}
+	answers <- targetReport{target: t, report: report}
 }
--- a/services/forward/reserve.go
+++ b/services/forward/reserve.go
@@ -82,7 +82,7 @@
 		}
 		spent = fl.call.InputTokens + events*uint64(max(1, fl.service.GetEngine().GetEventTokens()))
 	}
-	if fl.lostOutput && (err != nil || fl.passedFailure) {
+	if fl.lostOutput && (err != nil || fl.failureRelayed) {
 		// What the target generated is unknown.
 		spent = fl.reserved.Tokens
 	}
--- a/services/forward/retry.go
+++ b/services/forward/retry.go
@@ -32,8 +32,8 @@
 	// rate, 0 where the box has a reserve of its own.
 	fleetMeter rate.Meter
 	perSecond  float64
-	// refill is when the last call added its share.
-	refill time.Duration
+	// lastRefill is when a call last added its share, while the reserve is a rate.
+	lastRefill time.Duration
 }
 
 // retryTerms are the limits of a retry budget.
@@ -93,9 +93,9 @@
 		return
 	}
 	row.perSecond = terms.perSecond
-	left := math.Exp(-float64(now-row.refill) / (retryShareDecay * float64(window)))
+	left := math.Exp(-float64(now-row.lastRefill) / (retryShareDecay * float64(window)))
 	row.tokens = min(1, row.tokens*left+terms.ratio)
-	row.refill = now
+	row.lastRefill = now
 }
 
 // take spends one retry and reports whether there was one.
--- a/services/forward/run.go
+++ b/services/forward/run.go
@@ -35,8 +35,8 @@
 	status int
 	fields []Field
 	body   []byte
-	// passedLength is the length to declare for the body, negative for none.
-	passedLength int
+	// declaredLength is the Content-Length to declare to the caller, negative for none.
+	declaredLength int
 }
 
 // attempt is the result of sending the call to one target.
@@ -146,7 +146,7 @@
 		return errBegun{last.err}
 	}
 	if fl.failure != nil {
-		fl.passedFailure = true
+		fl.failureRelayed = true
 		return fl.sendAnswer(fl.failure)
 	}
 	if fl.possibleRuns == 0 && last.heldFor > 0 {
@@ -203,11 +203,11 @@
 }
 
 // attemptOn sends the call over a connection and reads the answer.
-func (fl *inflightCall) attemptOn(ctx context.Context, choice spread.Choice, c *conn, silence *watchdog) attempt {
+func (fl *inflightCall) attemptOn(ctx context.Context, choice spread.Choice, c *conn, wd *watchdog) attempt {
 	t := choice.Target
 	sent := fl.now
 	fl.call.Resumes = fl.resumption != nil
-	x, err := fl.f.send(ctx, c, fl.call, fl.ownFields(choice), sent)
+	x, err := fl.f.send(ctx, c, fl.call, fl.addedFields(choice), sent)
 	if errors.Is(err, errLimited) {
 		return attempt{verdict: inconclusive, notRun: true, limited: true, err: err}
 	}
@@ -218,17 +218,17 @@
 	}
 	if err := x.read(fl.call.ID); err != nil {
 		x.abandon()
-		fl.noteLostOutput(ctx, silence)
+		fl.noteLostOutput(ctx, wd)
 		fl.recordSend(t, "no answer")
-		return attempt{verdict: fl.verdictOnTimeout(ctx, silence), err: err}
+		return attempt{verdict: fl.verdictOnTimeout(ctx, wd), err: err}
 	}
-	return fl.handleHead(ctx, choice, x, silence, sent)
+	return fl.handleHead(ctx, choice, x, wd, sent)
 }
 
 // verdictOnTimeout returns the verdict on a target that did not answer: a call that ran out of
 // its own time says nothing about its target.
-func (fl *inflightCall) verdictOnTimeout(ctx context.Context, s *watchdog) verdict {
-	if ctx.Err() != nil && !s.fired() {
+func (fl *inflightCall) verdictOnTimeout(ctx context.Context, wd *watchdog) verdict {
+	if ctx.Err() != nil && !wd.fired() {
 		return inconclusive
 	}
 	return failing
@@ -236,8 +236,8 @@
 
 // noteLostOutput records the output that may be lost at a target that gave no answer. If the
 // caller left, the connection was closed at once; otherwise nothing is known.
-func (fl *inflightCall) noteLostOutput(ctx context.Context, s *watchdog) {
-	if errors.Is(ctx.Err(), context.Canceled) && !s.fired() {
+func (fl *inflightCall) noteLostOutput(ctx context.Context, wd *watchdog) {
+	if errors.Is(ctx.Err(), context.Canceled) && !wd.fired() {
 		fl.missedTail = true
 		return
 	}
@@ -246,12 +246,12 @@
 
 // noteLostTail records the output that may be lost of a stream that was cut off. A target that
 // has closed its connection generates nothing more.
-func (fl *inflightCall) noteLostTail(ctx context.Context, c *conn, s *watchdog) {
+func (fl *inflightCall) noteLostTail(ctx context.Context, c *conn, wd *watchdog) {
 	if c.closed && ctx.Err() == nil {
 		fl.missedTail = true
 		return
 	}
-	fl.noteLostOutput(ctx, s)
+	fl.noteLostOutput(ctx, wd)
 }
 
 func (fl *inflightCall) recordSend(t *spread.Target, outcome string) {
@@ -260,7 +260,7 @@
 }
 
 // handleHead decides by its header how an answer is handled.
-func (fl *inflightCall) handleHead(ctx context.Context, c spread.Choice, x *exchange, s *watchdog, sent time.Duration) attempt {
+func (fl *inflightCall) handleHead(ctx context.Context, c spread.Choice, x *exchange, wd *watchdog, sent time.Duration) attempt {
 	t := c.Target
 	d := fl.f.opts.Dialect
 	status := x.head.StatusCode()
@@ -275,9 +275,9 @@
 		fl.recordSend(t, "foreign")
 		return attempt{verdict: failing, err: errNotSigned}
 	case fl.isStream(status):
-		return fl.forwardStream(ctx, c, x, s, sent)
+		return fl.forwardStream(ctx, c, x, wd, sent)
 	default:
-		return fl.readFully(t, x, status)
+		return fl.bufferAnswer(t, x, status)
 	}
 }
 
@@ -310,6 +310,6 @@
 		return
 	}
 	n, err := io.Copy(io.Discard, io.LimitReader(x.body, maxStrayBody))
-	x.readFully = err == nil && n < maxStrayBody
+	x.bodyComplete = err == nil && n < maxStrayBody
 	x.finish()
 }
--- a/services/forward/schedule_test.go
+++ b/services/forward/schedule_test.go
@@ -26,7 +26,7 @@
 )
 
 // These tests run random schedules of what targets send and when, through the forwarder and the
-// answer writer, against a strict reader in place of the caller. Targets and the caller are in
+// answer writer, against a strict client in place of the caller. Targets and the caller are in
 // memory; the only waits are the pauses between attempts.
 
 // callPatience is how long callers wait: half of a repeated answer may swallow the one that is
@@ -37,13 +37,13 @@
 type targetRecord struct {
 	mu sync.Mutex
 	// runs counts the targets that started to run a call from scratch. complete is set once one
-	// of them has sent a complete answer of 200, ambiguous when one sent what can't be told
-	// from one.
-	runs      map[string]int
-	complete  map[string]bool
-	ambiguous map[string]bool
-	failures  map[string]map[int]bool
-	stopped   map[string]chan struct{}
+	// of them has sent a complete answer of 200, undetectableCut when one sent an answer without
+	// a length, of which a part can't be told from the whole.
+	runs            map[string]int
+	complete        map[string]bool
+	undetectableCut map[string]bool
+	failures        map[string]map[int]bool
+	stopped         map[string]chan struct{}
 }
 
 func (s *targetRecord) record(r received, a response) {
@@ -55,7 +55,7 @@
 	intact := a.cutAt < 0 && a.corruptAt < 0 && (a.inserted == "" || strings.HasPrefix(a.inserted, ":"))
 	s.complete[r.id] = s.complete[r.id] || a.status == 200 && intact
 	// An answer without a length ends with its connection, wherever that is.
-	s.ambiguous[r.id] = s.ambiguous[r.id] || a.unframed
+	s.undetectableCut[r.id] = s.undetectableCut[r.id] || a.unframed
 	if s.failures[r.id] == nil {
 		s.failures[r.id] = map[int]bool{}
 	}
@@ -67,7 +67,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if strings.Contains(text, string(corruptMark)) && !strings.Contains(text, "\nContent-Length: ") && !strings.Contains(text, "\nTransfer-Encoding: ") {
-		s.ambiguous[r.id] = true
+		s.undetectableCut[r.id] = true
 	}
 }
 
@@ -218,7 +218,7 @@
 	return nil
 }
 
-// checkCaller checks what a strict reader got for a call.
+// checkCaller checks what a strict client got for a call.
 func checkCaller(t *rapid.T, p *schedule, call *Call, a *observe.Answer, err error) {
 	s := p.targets
 	s.mu.Lock()
@@ -250,7 +250,7 @@
 func checkBody(fail func(string, ...any), s *targetRecord, call *Call, body string, complete bool) {
 	corrupt := strings.ContainsRune(body, corruptMark)
 	if strings.HasPrefix(call.Path, "/unsafe/") {
-		if want := "answer to " + call.ID; complete && !corrupt && body != want && !(s.ambiguous[call.ID] && strings.HasPrefix(want, body)) {
+		if want := "answer to " + call.ID; complete && !corrupt && body != want && !(s.undetectableCut[call.ID] && strings.HasPrefix(want, body)) {
 			fail("want %q", want)
 		}
 		return
@@ -269,7 +269,7 @@
 		}
 		n++
 	}
-	if complete && n != eventsOfCall && !s.ambiguous[call.ID] {
+	if complete && n != eventsOfCall && !s.undetectableCut[call.ID] {
 		fail("%d events, want %d", n, eventsOfCall)
 	}
 }
@@ -300,7 +300,7 @@
 	f.pool.sweep(func(string) bool { return false })
 }
 
-// serveTo serves a call to a strict reader.
+// serveTo serves a call to a strict client.
 func serveTo(f *Forwarder, call *Call) (*observe.Answer, error) {
 	near, far := observe.Pipe()
 	type result struct {
@@ -336,7 +336,7 @@
 // enableMoves lets engines copy running calls, and records measurements by which prefills of
 // long prompts delay streams.
 func enableMoves(f *Forwarder) {
-	f.opts.EngineAPI = testOrders{}
+	f.opts.EngineAPI = testEngineAPI{}
 	index := f.opts.Store.Index()
 	index.Service("s").Engine.Moves = true
 	for _, r := range index.Table.GetRoutes() {
@@ -344,10 +344,10 @@
 			r.Pause = 100
 		}
 	}
-	reader := f.targets.Choose(spread.Criteria{Service: "s"}, 0).Target
-	f.targets.RecordPrefill(reader, 4000, 100*time.Millisecond)
+	tg := f.targets.Choose(spread.Criteria{Service: "s"}, 0).Target
+	f.targets.RecordPrefill(tg, 4000, 100*time.Millisecond)
 	for range 20 {
-		f.targets.RecordStreamPause(reader, time.Second, time.Millisecond)
+		f.targets.RecordStreamPause(tg, time.Second, time.Millisecond)
 	}
 }
 
@@ -357,7 +357,7 @@
 	for name, moves := range map[string]bool{"calls": false, "moved runs": true} {
 		t.Run(name, func(base *testing.T) {
 			rapid.Check(base, func(t *rapid.T) {
-				p := &schedule{moves: moves, targets: &targetRecord{runs: map[string]int{}, complete: map[string]bool{}, ambiguous: map[string]bool{}, failures: map[string]map[int]bool{}, stopped: map[string]chan struct{}{}}}
+				p := &schedule{moves: moves, targets: &targetRecord{runs: map[string]int{}, complete: map[string]bool{}, undetectableCut: map[string]bool{}, failures: map[string]map[int]bool{}, stopped: map[string]chan struct{}{}}}
 				for i := range rapid.IntRange(1, 5).Draw(t, "responses") {
 					p.responses = append(p.responses, drawResponse(t, fmt.Sprint("response ", i)))
 				}
--- a/services/forward/stream.go
+++ b/services/forward/stream.go
@@ -15,18 +15,18 @@
 )
 
 // forwardStream relays events as they arrive.
-func (fl *inflightCall) forwardStream(ctx context.Context, c spread.Choice, x *exchange, s *watchdog, sent time.Duration) attempt {
+func (fl *inflightCall) forwardStream(ctx context.Context, c spread.Choice, x *exchange, wd *watchdog, sent time.Duration) attempt {
 	t := c.Target
 	mv := fl.mover(c)
 	defer mv.release()
-	s.restart(stallLimit)
+	wd.restart(stallLimit)
 	fl.events.startTarget()
 	fl.events.logAnomaly = func(event []byte) { fl.f.logAnomaly(fl.call, t, anomalyEvent, fl.events.count, event) }
 	buffer := make([]byte, readBuffer)
 	for {
 		n, err := x.body.Read(buffer)
 		if n > 0 {
-			s.restart(stallLimit)
+			wd.restart(stallLimit)
 			fl.recordPrefill(t, sent)
 			if sinkErr := fl.forwardEvents(x, fl.events.split(buffer[:n])); sinkErr != nil {
 				x.abandon()
@@ -37,14 +37,14 @@
 			mv.start(ctx)
 		}
 		if err != nil || fl.events.fault {
-			return fl.streamEnded(ctx, t, x, s, mv, err)
+			return fl.streamEnded(ctx, t, x, wd, mv, err)
 		}
 	}
 }
 
 // streamEnded decides what the end of a target's bytes means: the end of the stream, a run that
 // was stopped to be moved, or a broken stream.
-func (fl *inflightCall) streamEnded(ctx context.Context, t *spread.Target, x *exchange, s *watchdog, mv *mover, err error) attempt {
+func (fl *inflightCall) streamEnded(ctx context.Context, t *spread.Target, x *exchange, wd *watchdog, mv *mover, err error) attempt {
 	fault := fl.events.fault
 	complete := err == io.EOF && len(fl.events.pending) == 0 && !fault
 	if complete && x.framed {
@@ -63,9 +63,9 @@
 		return fl.finishStream(t, x)
 	}
 	x.abandon()
-	fl.noteLostTail(ctx, x.conn, s)
+	fl.noteLostTail(ctx, x.conn, wd)
 	fl.recordSend(t, fmt.Sprintf("broke off after event %d", fl.events.last))
-	return attempt{verdict: fl.verdictOnTimeout(ctx, s), err: errors.Errorf("the stream broke off (invalid event: %v): %v", fault, err)}
+	return attempt{verdict: fl.verdictOnTimeout(ctx, wd), err: errors.Errorf("the stream broke off (invalid event: %v): %v", fault, err)}
 }
 
 // forwardEvents relays complete events, preceded by the header of the first target.
@@ -83,7 +83,7 @@
 }
 
 func (fl *inflightCall) finishStream(t *spread.Target, x *exchange) attempt {
-	x.readFully = true
+	x.bodyComplete = true
 	if !fl.sink.started() {
 		if err := fl.sink.Begin(x.head.StatusCode(), x.fields(), -1); err != nil {
 			x.abandon()
--- a/services/forward/target_end.go
+++ b/services/forward/target_end.go
@@ -80,8 +80,8 @@
 	call := brokenCall{request: fl.call.ID, contentDigest: fl.contentDigest(), early: early, until: f.opts.Clock.Boot() + replacedWithin}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	fate := f.targets.EndOf(t)
-	if fate == spread.EndAnnounced {
+	end := f.targets.EndOf(t)
+	if end == spread.EndAnnounced {
 		return
 	}
 	e := f.breaks[t]
@@ -95,7 +95,7 @@
 	switch {
 	case e.ended:
 		f.reportEnd(t, e, endRefused)
-	case fate == spread.EndReplaced:
+	case end == spread.EndReplaced:
 		f.reportEnd(t, e, endReplaced)
 	case !e.probing:
 		e.probing = true
--- a/services/forward/target_end_test.go
+++ b/services/forward/target_end_test.go
@@ -29,18 +29,18 @@
 	// served counts successful calls, reported receives a value for each recorded end.
 	served   int
 	reported chan struct{}
-	// hook is called by HoldLeft.
-	hook func(n *fakeQuarantine, c quarantine.Digest)
+	// onHoldLeft is called by HoldLeft.
+	onHoldLeft func(n *fakeQuarantine, c quarantine.Digest)
 }
 
 func newFakeQuarantine() *fakeQuarantine {
-	return &fakeQuarantine{held: map[quarantine.Digest]bool{}, reported: make(chan struct{}, 100), hook: func(*fakeQuarantine, quarantine.Digest) {}}
+	return &fakeQuarantine{held: map[quarantine.Digest]bool{}, reported: make(chan struct{}, 100), onHoldLeft: func(*fakeQuarantine, quarantine.Digest) {}}
 }
 
 func (n *fakeQuarantine) HoldLeft(c quarantine.Digest) (time.Duration, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.hook(n, c)
+	n.onHoldLeft(n, c)
 	return time.Minute, n.held[c]
 }
 
@@ -192,10 +192,10 @@
 			one := newTarget(t, "one", c.scripts...)
 			two := newTarget(t, "two", c.scripts...)
 			n := newFakeQuarantine()
-			questions := 0
-			n.hook = func(n *fakeQuarantine, content quarantine.Digest) {
-				questions++
-				n.held[content] = questions >= c.holdAt
+			queries := 0
+			n.onHoldLeft = func(n *fakeQuarantine, content quarantine.Digest) {
+				queries++
+				n.held[content] = queries >= c.holdAt
 			}
 			f := newForwarder(t, &fakeLeases{}, one, two)
 			f.opts.Quarantine = n
--- a/services/forward/watchdog.go
+++ b/services/forward/watchdog.go
@@ -15,37 +15,38 @@
 // watchdog cancels an attempt whose target stays silent for too long. It never cancels a call
 // that may not be repeated.
 type watchdog struct {
-	timer *time.Timer
-	done  atomic.Bool
+	// timer is nil if the call may not be sent to another target.
+	timer   *time.Timer
+	expired atomic.Bool
 }
 
 // startWatchdog starts the timeout for the header of an answer.
 func (fl *inflightCall) startWatchdog(cancel context.CancelFunc) *watchdog {
-	s := &watchdog{}
+	w := &watchdog{}
 	if !routing.IsRepeatable(fl.route) || fl.possibleRuns+1 >= int(fl.route.GetMaxAttempts()) {
-		return s
+		return w
 	}
 	limit := time.Duration(silenceFactor * float64(fl.route.GetObjective()) * float64(time.Millisecond))
 	if fl.route.GetKind() == statev1.Route_KIND_STREAM {
 		limit = max(limit, silenceFloor)
 	}
-	s.timer = time.AfterFunc(limit, func() {
-		s.done.Store(true)
+	w.timer = time.AfterFunc(limit, func() {
+		w.expired.Store(true)
 		cancel()
 	})
-	return s
+	return w
 }
 
-func (s *watchdog) restart(limit time.Duration) {
-	if s.timer != nil {
-		s.timer.Reset(limit)
+func (w *watchdog) restart(limit time.Duration) {
+	if w.timer != nil {
+		w.timer.Reset(limit)
 	}
 }
 
-func (s *watchdog) fired() bool { return s.done.Load() }
+func (w *watchdog) fired() bool { return w.expired.Load() }
 
-func (s *watchdog) stop() {
-	if s.timer != nil {
-		s.timer.Stop()
+func (w *watchdog) stop() {
+	if w.timer != nil {
+		w.timer.Stop()
 	}
 }
