--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -101,10 +101,12 @@
 	words     []string
 	ended     bool
 	cancelled bool
-	changed   chan struct{}
-	cancel    context.CancelFunc
-	arrival   uint64
-	start     chan struct{}
+	// stopped is set by the cancellation, cancelled when the run has ended for it.
+	stopped bool
+	changed chan struct{}
+	cancel  context.CancelFunc
+	arrival uint64
+	start   chan struct{}
 }
 
 // faults are the faults to inject into the next requests; engines may share them.
@@ -211,7 +213,10 @@
 			r.end(true)
 			return
 		}
-		r.add(fmt.Sprintf("w%d-%x ", i+1, (seed+uint64(i))&0xffff))
+		if !r.add(fmt.Sprintf("w%d-%x ", i+1, (seed+uint64(i))&0xffff)) {
+			r.end(true)
+			return
+		}
 		e.mu.Lock()
 		e.tokens++
 		e.mu.Unlock()
@@ -234,11 +239,24 @@
 	}
 }
 
-func (r *Run) add(word string) {
+// add appends a word, unless the run was stopped.
+func (r *Run) add(word string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
+	if r.stopped {
+		return false
+	}
 	r.words = append(r.words, word)
 	r.notify()
+	return true
+}
+
+// stop ends the run: no word is added after it has returned.
+func (r *Run) stop() {
+	r.mu.Lock()
+	r.stopped = true
+	r.mu.Unlock()
+	r.cancel()
 }
 
 func (r *Run) end(cancelled bool) {
@@ -297,7 +315,7 @@
 		return r, false
 	}
 	e.mu.Unlock()
-	r.cancel()
+	r.stop()
 	return r, r.PromptTokens > 0
 }
 
